--- a/cli/src/quarantine_command.cc
+++ b/cli/src/quarantine_command.cc
@@ -25,7 +25,7 @@
 using platform::StoreClient;
 using platform::StoreError;
 using platform::StoreResult;
-using serving::StoredEndings;
+using serving::StoredCrashes;
 
 template <typename T>
 StoreResult<T> AskStore(
@@ -43,12 +43,12 @@
                                         : ExitCode::kFailed;
 }
 
-std::string NameOf(const StoredEndings& endings) {
-  return serving::ContentText(endings.content);
+std::string NameOf(const StoredCrashes& endings) {
+  return serving::FingerprintText(endings.fingerprint);
 }
 
-std::vector<StoredEndings> EndingsIn(const platform::StoredItems& items) {
-  std::vector<StoredEndings> endings;
+std::vector<StoredCrashes> EndingsIn(const platform::StoredItems& items) {
+  std::vector<StoredCrashes> endings;
   for (const auto& it : items.items) {
     const auto* found = std::get_if<platform::StoredEndingsItem>(&it);
     if (found != nullptr) endings.push_back(found->endings);
@@ -56,25 +56,26 @@
   return endings;
 }
 
-bool IsHeld(const StoredEndings& endings) {
-  return endings.lives.size() >= serving::Quarantine::kMostEnds;
+bool IsHeld(const StoredCrashes& endings) {
+  return endings.incarnations.size() >=
+         serving::Quarantine::kQuarantineCrashCount;
 }
 
-void Print(const std::vector<StoredEndings>& endings) {
+void Print(const std::vector<StoredCrashes>& endings) {
   nlohmann::json all = nlohmann::json::array();
-  for (const StoredEndings& it : endings) {
+  for (const StoredCrashes& it : endings) {
     if (!WantsJson()) {
-      std::cout << NameOf(it) << "  " << it.lives.size() << " ended  "
+      std::cout << NameOf(it) << "  " << it.incarnations.size() << " ended  "
                 << (IsHeld(it) ? "held" : "watched") << "\n";
     }
     all.push_back({{"content", NameOf(it)},
-                   {"ended", it.lives.size()},
+                   {"ended", it.incarnations.size()},
                    {"held", IsHeld(it)}});
   }
   if (WantsJson()) std::cout << all.dump(2) << "\n";
 }
 
-ExitCode Release(const std::vector<StoredEndings>& known,
+ExitCode Release(const std::vector<StoredCrashes>& known,
                  const std::string& name) {
   const auto found =
       std::find_if(known.begin(), known.end(),
@@ -83,8 +84,9 @@
     std::cerr << "scaleshed: no entry for content " << name << "\n";
     return ExitCode::kInvalid;
   }
-  const StoredEndings none{
-      .content = found->content, .lives = {}, .revision = found->revision};
+  const StoredCrashes none{.fingerprint = found->fingerprint,
+                           .incarnations = {},
+                           .revision = found->revision};
   const auto done = AskStore<platform::Unchanged>([&](auto& client, auto tell) {
     client.WriteEndings({none}, std::move(tell));
   });
--- a/daemon/src/backend_calls.cc
+++ b/daemon/src/backend_calls.cc
@@ -20,7 +20,7 @@
   // Each attempt has a connection of its own, so a refusal without an id can
   // only be meant for it.
   const bool refusal = head.kind == serving::AnswerKind::kNotRun ||
-                       head.kind == serving::AnswerKind::kGone;
+                       head.kind == serving::AnswerKind::kReplaced;
   const bool unnamed = refusal && head.request_id.empty();
   if (head.request_id != request_id && !unnamed) {
     return std::string(kOfAnother);
@@ -35,7 +35,7 @@
 // Whether an answer's head speaks for the backend server that was asked. That
 // its body can't be used takes nothing from that.
 bool IsOwnWord(const platform::AnswerHead& head, const std::string& fault) {
-  return head.kind != serving::AnswerKind::kGone && fault != kOfAnother;
+  return head.kind != serving::AnswerKind::kReplaced && fault != kOfAnother;
 }
 
 // The status of an answer, or why there is none.
@@ -92,7 +92,7 @@
   const std::string fault = FaultOf(answer, it->second.request_id);
   if (IsOwnWord(answer, fault)) TellWord(attempt, head);
   if (!fault.empty()) {
-    TellFailed(attempt, serving::AttemptError::kCut, fault);
+    TellFailed(attempt, serving::AttemptError::kInterrupted, fault);
   }
 }
 
@@ -104,9 +104,10 @@
              {"attempt", std::to_string(attempt)},
              {"fault", read.fault}});
   }
-  feed_(serving::AnswerBegun{.attempt = attempt,
-                             .word = read.word,
-                             .limit_unknown = read.limit_unknown});
+  feed_(serving::ResponseHeadReceived{
+      .attempt = attempt,
+      .signals = read.word,
+      .rate_limit_unreadable = read.limit_unknown});
 }
 
 void BackendCalls::OnBytes(AttemptId attempt, const std::string& bytes) {
@@ -131,7 +132,7 @@
     const HttpError error = ErrorOf(result);
     TellFailed(attempt,
                IsUnsent(error) ? serving::AttemptError::kNotSent
-                               : serving::AttemptError::kCut,
+                               : serving::AttemptError::kInterrupted,
                std::string(NameIn(kHttpErrorNames, error)));
     return;
   }
@@ -140,7 +141,8 @@
                          head.kind == serving::AnswerKind::kSuccess &&
                          !it->second.splitter.rest().empty();
   if (cut_event) {
-    TellFailed(attempt, serving::AttemptError::kCut, "unfinished_event");
+    TellFailed(attempt, serving::AttemptError::kInterrupted,
+               "unfinished_event");
     return;
   }
   it->second.answer = std::move(*response);
@@ -148,7 +150,7 @@
   feed_(serving::AttemptAnswered{.attempt = attempt,
                                  .kind = head.kind,
                                  .status = status,
-                                 .at_fault = head.at_fault});
+                                 .refusing_address = head.at_fault});
   // What is to be passed on of the answer has been.
   attempts_.erase(attempt);
 }
@@ -160,13 +162,14 @@
     const bool granted = response != nullptr && platform::IsReserved(*response);
     LogInfo("reserve", {{"attempt", std::to_string(order.attempt)},
                         {"address", order.address},
-                        {"ticket", order.ticket},
+                        {"ticket", order.reservation_id},
                         {"tokens", std::to_string(order.tokens)},
                         {"status", OutcomeText(result)}});
     // No answer is no refusal: the order may still be carried out.
     if (response == nullptr) return;
-    feed_(serving::MemoryAnswered{
-        .attempt = order.attempt, .index = order.index, .granted = granted});
+    feed_(serving::MemoryReservationAnswered{.attempt = order.attempt,
+                                             .helper_index = order.helper_index,
+                                             .granted = granted});
   };
   orders_.Start(std::move(call));
 }
@@ -175,13 +178,13 @@
   HttpCall call = platform::ReleaseOrder(order);
   call.on_done = [order](const HttpResult& result) {
     LogInfo("release", {{"address", order.address},
-                        {"ticket", order.ticket},
+                        {"ticket", order.reservation_id},
                         {"status", OutcomeText(result)}});
   };
   orders_.Start(std::move(call));
 }
 
-void BackendCalls::AskReport(const serving::AskReport& question) {
+void BackendCalls::AskReport(const serving::FetchEngineReport& question) {
   HttpCall call = platform::ReportCall(question);
   call.on_done = [this, question](const HttpResult& result) {
     const auto* response = ValueOf(result);
@@ -199,18 +202,18 @@
 }
 
 // Any answer will do: what counts is whether anybody listens there.
-void BackendCalls::AskLife(const serving::AskLife& question) {
+void BackendCalls::AskLife(const serving::ProbeLiveness& question) {
   HttpCall call = platform::ReportCall(
       {.backend = question.backend, .address = question.address});
   call.connect_timeout = kLifeWithin;
   call.on_done = [this, question](const HttpResult& result) {
-    auto sign = serving::LifeSign::kNothing;
+    auto sign = serving::ProbeResult::kInconclusive;
     if (ValueOf(result) != nullptr) {
-      sign = serving::LifeSign::kAnswered;
+      sign = serving::ProbeResult::kAlive;
     } else if (ErrorOf(result) == HttpError::kRefused) {
-      sign = serving::LifeSign::kRefused;
+      sign = serving::ProbeResult::kRefused;
     }
-    feed_(serving::LifeSeen{.backend = question.backend, .sign = sign});
+    feed_(serving::LivenessProbed{.backend = question.backend, .result = sign});
   };
   orders_.Start(std::move(call));
 }
--- a/daemon/src/fleet_daemon.cc
+++ b/daemon/src/fleet_daemon.cc
@@ -25,16 +25,16 @@
   return {.instance = settings.listen,
           .peer_address = settings.peer_listen,
           .data_centre = settings.data_centre,
-          .life = life,
+          .incarnation = life,
           .seed = HashBytes(settings.instance, life),
           .capacity = fleet.capacity,
           .key_freshness = fleet.keys_fail_closed ? fleet.key_freshness
                                                   : Duration::max() / 4,
-          .news_within = fleet.news_within,
-          .grace = fleet.grace,
-          .repeats = {.ratio = fleet.repeat_ratio,
-                      .slack = fleet.repeat_slack,
-                      .window = fleet.repeat_window}};
+          .propagation_limit = fleet.news_within,
+          .shutdown_grace = fleet.grace,
+          .retry_budget = {.ratio = fleet.repeat_ratio,
+                           .slack = fleet.repeat_slack,
+                           .window = fleet.repeat_window}};
 }
 
 }  // namespace
@@ -79,7 +79,7 @@
                       {"metrics_listen", settings.fleet->metrics_listen},
                       {"peer_listen", settings.peer_listen},
                       {"platform", settings.platform},
-                      {"life", std::to_string(state_.options.life)}});
+                      {"life", std::to_string(state_.options.incarnation)}});
   store_->Start();
   Feed(serving::Tick{});
 }
@@ -130,55 +130,59 @@
           },
           [&](const serving::DeliverAnswer& it) { Deliver(it); },
           [&](const serving::BeginStream& it) { Begin(it); },
-          [&](const serving::PassEvent& it) {
+          [&](const serving::ForwardEvent& it) {
             const auto found = exchanges_.find(it.key);
             if (found != exchanges_.end()) found->second->SendChunk(it.bytes);
           },
           [&](const serving::EndStream& it) {
             if (const auto exchange = Take(it.key)) exchange->EndStream();
           },
-          [&](const serving::BreakAnswer& it) {
+          [&](const serving::AbortResponse& it) {
             if (const auto exchange = Take(it.key)) exchange->Abort();
           },
           [&](const serving::Refuse& it) { Answer(it); },
           [&](const serving::ReserveMemory& it) { backends_->Reserve(it); },
           [&](const serving::ReleaseMemory& it) { backends_->Release(it); },
-          [&](const serving::AskReport& it) { backends_->AskReport(it); },
-          [&](const serving::AskLife& it) { backends_->AskLife(it); },
+          [&](const serving::FetchEngineReport& it) {
+            backends_->AskReport(it);
+          },
+          [&](const serving::ProbeLiveness& it) { backends_->AskLife(it); },
           [&](const serving::PublishSnapshot& it) {
             const std::string bytes = EncodeDatagram(it.snapshot, state_.now);
             for (const std::string& to : it.to) {
               Tell(DatagramKind::kSnapshot, to, bytes);
             }
           },
-          [&](const serving::AskPlacer& it) {
+          [&](const serving::RequestPlacement& it) {
             Tell(DatagramKind::kQuestion, it.to,
-                 EncodeDatagram(it.question, state_.now));
+                 EncodeDatagram(it.request, state_.now));
           },
-          [&](const serving::AnswerPlace& it) {
-            Tell(DatagramKind::kPlacement, it.to, EncodeDatagram(it.answer));
+          [&](const serving::RespondToPlacement& it) {
+            Tell(DatagramKind::kPlacement, it.to, EncodeDatagram(it.response));
           },
-          [&](const serving::AskStore& it) { store_->Ask(it); },
+          [&](const serving::PollStore& it) { store_->Ask(it); },
           [&](const serving::ReadConfiguration& it) {
             store_->ReadConfiguration(it);
           },
           [&](const serving::ListStore&) { store_->List(); },
-          [&](const serving::WriteEntryAgain&) { store_->WriteEntryAgain(); },
-          [&](const serving::WriteSettledEra& it) {
-            store_->WriteSettledEra(it.era);
+          [&](const serving::RewriteOwnEntry&) { store_->WriteEntryAgain(); },
+          [&](const serving::WriteReconciledEpoch& it) {
+            store_->WriteSettledEra(it.epoch);
           },
-          [&](const serving::WatchStore& it) { store_->SetWatch(it.on); },
-          [&](const serving::SaveEndings& it) { store_->Save(it); },
-          [&](const serving::RelayStore& it) {
+          [&](const serving::WatchStore& it) { store_->SetWatch(it.enabled); },
+          [&](const serving::SaveCrashes& it) { store_->Save(it); },
+          [&](const serving::RelayStoreState& it) {
             for (const auto& [to, relay] : it.messages) {
               Tell(DatagramKind::kRelay, to, EncodeDatagram(relay));
             }
           },
           [&](const serving::LogDecision& it) {
-            it.routine ? LogRoutine(it.what, it.fields)
-                       : LogInfo(it.what, it.fields);
+            it.routine ? LogRoutine(it.event, it.fields)
+                       : LogInfo(it.event, it.fields);
+          },
+          [&](const serving::IncrementCounter& it) {
+            metrics_->Add(it.counter);
           },
-          [&](const serving::Count& it) { metrics_->Add(it.counter); },
           [&](const serving::ObserveLatency& it) { metrics_->Observe(it); },
           [&](const serving::ApplyLimits& it) {
             ApplyLimits(it.limits);
@@ -233,11 +237,11 @@
   exchanges_[key] = exchange;
   exchange->OnClosed([this, key] {
     exchanges_.erase(key);
-    Feed(serving::ClientGone{.key = key});
+    Feed(serving::ClientDisconnected{.key = key});
   });
-  serving::RequestFacts facts = platform::ReadRequest(exchange->request());
-  facts.content = platform::ContentOf(exchange->request());
-  Feed(serving::RequestArrived{.key = key, .facts = std::move(facts)});
+  serving::RequestMetadata facts = platform::ReadRequest(exchange->request());
+  facts.fingerprint = platform::ContentOf(exchange->request());
+  Feed(serving::RequestArrived{.key = key, .metadata = std::move(facts)});
 }
 
 void FleetDaemon::OnDocument(HttpExchange& exchange) {
@@ -252,7 +256,7 @@
   const auto revision = state_.configuration->configuration().revision;
   exchange.Reply(kOk,
                  {{kRevisionHeader, std::to_string(revision.number)},
-                  {kEraHeader, std::to_string(revision.era)}},
+                  {kEraHeader, std::to_string(revision.epoch)}},
                  *document);
 }
 
@@ -261,9 +265,10 @@
     exchange.Reply(kNotFound, {}, "");
     return;
   }
-  const serving::LookUpAnswer answer = serving::LookUp(state_);
+  const serving::ClientAddresses answer =
+      serving::LookUpClientAddresses(state_);
   exchange.Reply(kOk, {{"Content-Type", "application/json"}},
-                 platform::LookUpJson(answer.addresses, answer.keep));
+                 platform::LookUpJson(answer.addresses, answer.time_to_live));
 }
 
 void FleetDaemon::OnReadyCheck(HttpExchange& exchange) {
--- a/daemon/src/fleet_metrics.cc
+++ b/daemon/src/fleet_metrics.cc
@@ -26,21 +26,22 @@
   RenderGauge(out, "backends_suspect", suspect);
   const auto limited = std::count_if(
       state.limits.begin(), state.limits.end(),
-      [](const auto& it) { return it.second.named.per_second.has_value(); });
+      [](const auto& it) { return it.second.limit.per_second.has_value(); });
   RenderGauge(out, "backends_limited", static_cast<double>(limited));
   const auto resting =
-      std::count_if(state.rests.begin(), state.rests.end(),
+      std::count_if(state.backoffs.begin(), state.backoffs.end(),
                     [&](const auto& it) { return it.second > state.now; });
   RenderGauge(out, "backends_resting", static_cast<double>(resting));
 }
 
-void RenderDispatch(std::ostream& out, const serving::Dispatching& dispatch) {
-  RenderGauge(out, "all_daemons_place", dispatch.all_place ? 1 : 0);
+void RenderDispatch(std::ostream& out,
+                    const serving::PlacementDuties& dispatch) {
+  RenderGauge(out, "all_daemons_place", dispatch.place_locally ? 1 : 0);
   RenderGauge(out, "is_hub", dispatch.is_hub ? 1 : 0);
   RenderGauge(out, "placers_known",
               static_cast<double>(dispatch.placers.size()));
   RenderGauge(out, "prompts_of_others",
-              static_cast<double>(dispatch.asked.size()));
+              static_cast<double>(dispatch.remote_placements.size()));
 }
 
 void RenderRequests(std::ostream& out, const serving::State& state) {
@@ -104,9 +105,10 @@
     RenderGauge(out, "configuration_proof_age_seconds",
                 SecondsOf(state.now - state.confirmed_at));
   }
-  RenderGauge(out, "store_era", static_cast<double>(state.store.era.number));
+  RenderGauge(out, "store_era", static_cast<double>(state.store.epoch.number));
   RenderGauge(out, "store_awaits_operators",
-              serving::AwaitsOperators(state) || !state.store.era.settled);
+              serving::AwaitsConfigurationRewrite(state) ||
+                  !state.store.epoch.reconciled);
   RenderGauge(out, "backends_proof_age_seconds",
               SecondsOf(state.now - state.store.backends_confirmed_at));
   RenderBackends(out, state);
@@ -114,13 +116,15 @@
       std::count_if(state.members.begin(), state.members.end(),
                     [](const auto& it) { return it.second.snapshot.serving; });
   RenderGauge(out, "other_daemons_serving", static_cast<double>(daemons));
-  RenderGauge(out, "daemons_heard", static_cast<double>(state.counted.heard));
-  RenderGauge(out, "daemons_listed", static_cast<double>(state.counted.listed));
+  RenderGauge(out, "daemons_heard",
+              static_cast<double>(state.logged_daemon_count.live));
+  RenderGauge(out, "daemons_listed",
+              static_cast<double>(state.logged_daemon_count.listed));
   // Contents under which servers ended; of these, those that are sent to none.
   RenderGauge(out, "contents_doubtful",
               static_cast<double>(state.quarantine.size()));
   RenderGauge(out, "contents_held",
-              static_cast<double>(state.quarantine.held()));
+              static_cast<double>(state.quarantine.quarantined_count()));
   RenderDispatch(out, state.dispatch);
   RenderRequests(out, state);
   out << "# TYPE scaleshed_loop_late_seconds histogram\n";
--- a/daemon/src/internal/backend_calls.h
+++ b/daemon/src/internal/backend_calls.h
@@ -27,8 +27,8 @@
   void Cancel(AttemptId attempt);
   void Reserve(const serving::ReserveMemory& order);
   void Release(const serving::ReleaseMemory& order);
-  void AskReport(const serving::AskReport& question);
-  void AskLife(const serving::AskLife& question);
+  void AskReport(const serving::FetchEngineReport& question);
+  void AskLife(const serving::ProbeLiveness& question);
 
   // The whole answer of an attempt, or the head of its stream; nullptr where
   // there is none.
--- a/daemon/src/internal/store_follower.h
+++ b/daemon/src/internal/store_follower.h
@@ -45,14 +45,14 @@
   // Takes this daemon out of the list.
   void Leave();
 
-  void Ask(const serving::AskStore& question);
+  void Ask(const serving::PollStore& question);
   // That one or a newer one, from a daemon that has it or else from
   // the store.
   void ReadConfiguration(const serving::ReadConfiguration& wanted);
   // All that there is, again and again until it is told.
   void List();
   void SetWatch(bool on);
-  void Save(const serving::SaveEndings& save);
+  void Save(const serving::SaveCrashes& save);
   // The store may have lost this daemon's entry.
   void WriteEntryAgain();
   void WriteSettledEra(std::uint64_t era);
@@ -65,11 +65,11 @@
   void OnWatch(platform::StoreResult<platform::StoredItems> result);
   void OnAsked(platform::StoreResult<platform::Confirmation> result,
                const std::vector<platform::KnownRevision>& known,
-               const serving::AskStore& question, Time asked);
+               const serving::PollStore& question, Time asked);
   void ReadStored(const serving::ConfigurationStamp& wanted);
   void ReadNewest();
-  void CatchUp(const serving::AskStore& question);
-  void TellConfirmed(const serving::AskStore& question, Time asked);
+  void CatchUp(const serving::PollStore& question);
+  void TellConfirmed(const serving::PollStore& question, Time asked);
   void OnForgotten();
   void TakeChanges(const platform::StoredItems& changes, Time asked);
   void Take(const platform::StoredItem& item, Time asked);
--- a/daemon/src/registration.cc
+++ b/daemon/src/registration.cc
@@ -46,7 +46,7 @@
   lease_ = 0;
   stood_ = stood_ || stands_;
   stands_ = false;
-  options_.feed(serving::EntryForgotten{});
+  options_.feed(serving::OwnEntryLost{});
   timer_.Once(Drawn(kAfterRestore));
 }
 
@@ -57,7 +57,8 @@
 
 void Registration::TellHeld(Time asked, bool anew) {
   if (leaving_) return;
-  options_.feed(serving::EntryHeld{.until = asked + kLeaseTtl, .anew = anew});
+  options_.feed(serving::OwnEntryConfirmed{.valid_until = asked + kLeaseTtl,
+                                           .newly_written = anew});
 }
 
 void Registration::Open() {
@@ -114,7 +115,7 @@
       lease_ = 0;
       stands_ = false;
       stood_ = false;
-      options_.feed(serving::EntryEnded{});
+      options_.feed(serving::OwnEntryRemoved{});
     }
     timer_.Once(Drawn(over ? kAgain : kRetry));
   });
--- a/daemon/src/store_follower.cc
+++ b/daemon/src/store_follower.cc
@@ -57,7 +57,7 @@
   const auto number = [&](const char* header) {
     return std::strtoull(answer.headers.Get(header).c_str(), nullptr, 10);
   };
-  const serving::StoreRevision revision{.era = number(kEraHeader),
+  const serving::StoreRevision revision{.epoch = number(kEraHeader),
                                         .number = number(kRevisionHeader)};
   return platform::ReadStoredConfiguration(std::move(answer.body), revision);
 }
@@ -73,7 +73,7 @@
                     .on_heard = [this] { Heard(); },
                     .on_era =
                         [this](std::uint64_t era) {
-                          feed_(serving::StoreEraSeen{.era = era});
+                          feed_(serving::StoreEpochObserved{.epoch = era});
                         }}),
       peer_calls_(loop),
       random_(options_.seed),
@@ -148,7 +148,7 @@
 void StoreFollower::Heard() {
   if (loop_.Now() - heard_at_ < kHeardGrain) return;
   heard_at_ = loop_.Now();
-  feed_(serving::StoreHeard{});
+  feed_(serving::StoreResponded{});
 }
 
 bool StoreFollower::StoreWasAway() const {
@@ -189,7 +189,7 @@
 }
 
 bool StoreFollower::KnowsPlace() const {
-  return at_.number != 0 && at_.era == store_.era();
+  return at_.number != 0 && at_.epoch == store_.era();
 }
 
 void StoreFollower::WriteEntryAgain() { registration_.WriteAgain(); }
@@ -206,7 +206,7 @@
   serving::BackendsListed all{.backends = {},
                               .certain = !StoreWasAway(),
                               .revision = items.at,
-                              .asked = asked};
+                              .queried_at = asked};
   for (const auto& it : items.items) {
     const auto* backend = std::get_if<platform::StoredBackend>(&it);
     if (backend != nullptr) all.backends.push_back(backend->backend);
@@ -215,23 +215,23 @@
 }
 
 void StoreFollower::TellEndings(const platform::StoredItems& items) {
-  serving::AllEndingsListed all{.endings = {}, .revision = items.at};
+  serving::AllCrashesListed all{.crashes = {}, .revision = items.at};
   for (const auto& it : items.items) {
     const auto* endings = std::get_if<platform::StoredEndingsItem>(&it);
-    if (endings != nullptr) all.endings.push_back(endings->endings);
+    if (endings != nullptr) all.crashes.push_back(endings->endings);
   }
   feed_(std::move(all));
 }
 
-void StoreFollower::Save(const serving::SaveEndings& save) {
-  store_.WriteEndings(save.endings, [this](auto result) {
+void StoreFollower::Save(const serving::SaveCrashes& save) {
+  store_.WriteEndings(save.crashes, [this](auto result) {
     const auto fault = FaultOf(result);
     const bool done = Noted("save_endings", fault);
     const bool conflict =
         fault == StoreError::kConflict || fault == StoreError::kOtherEra;
     // Others wrote first; or no watch tells this daemon what it wrote.
     if (conflict || (done && !wants_watch_)) List();
-    feed_(serving::EndingsSaved{});
+    feed_(serving::SaveCrashesFinished{});
   });
 }
 
@@ -246,14 +246,14 @@
 
 // Every entry that stood when the store was asked is among them.
 void StoreFollower::TellCount(Time asked) {
-  feed_(serving::DaemonsCounted{.daemons = peers_.size(), .asked = asked});
+  feed_(serving::DaemonsCounted{.daemons = peers_.size(), .queried_at = asked});
 }
 
 void StoreFollower::Take(const platform::StoredItem& item, Time asked) {
   std::visit(
       Overloaded{[&](const platform::StoredConfiguration& it) {
-                   feed_(serving::ConfigurationSeen{
-                       .configuration = it.configuration, .asked = asked});
+                   feed_(serving::ConfigurationReceived{
+                       .configuration = it.configuration, .queried_at = asked});
                  },
                  [&](const platform::StoredBackend& it) {
                    feed_(serving::BackendListed{.backend = it.backend});
@@ -270,10 +270,10 @@
                    peers_.erase(it.peer_address);
                  },
                  [&](const platform::StoredEndingsItem& it) {
-                   feed_(serving::EndingsStored{it.endings});
+                   feed_(serving::CrashesStored{it.endings});
                  },
                  [&](const platform::StoredSettledEra& it) {
-                   feed_(serving::SettledEraSeen{it.era});
+                   feed_(serving::ReconciledEpochObserved{it.era});
                  },
                  [&](const platform::Unreadable& it) {
                    LogWarn("store_entry_unreadable",
@@ -316,7 +316,7 @@
 
 void StoreFollower::OnForgotten() {
   Noted("watch", std::nullopt);
-  LogInfo("history_forgotten", {{"era", std::to_string(at_.era)},
+  LogInfo("history_forgotten", {{"era", std::to_string(at_.epoch)},
                                 {"after", std::to_string(at_.number)}});
   List();
 }
@@ -328,13 +328,13 @@
   if (changes.at > at_) {
     at_ = changes.at;
     for (const auto& it : changes.items) Take(it, Time{});
-    feed_(serving::BackendsComplete{.revision = at_});
+    feed_(serving::BackendChangesComplete{.revision = at_});
     if (!changes.items.empty()) TellPeers();
   }
   TellCount(asked);
 }
 
-void StoreFollower::Ask(const serving::AskStore& question) {
+void StoreFollower::Ask(const serving::PollStore& question) {
   if (std::exchange(asking_, true)) return;
   const bool by_changes = question.backends.size() >= kMostConditions;
   if (by_changes && KnowsPlace()) {
@@ -357,7 +357,7 @@
 // What has changed since what is known, without waiting for more: a few bytes
 // where nothing has, while a list of 3,000 entries has 1 MB. All that the store
 // had taken when it was asked is known then.
-void StoreFollower::CatchUp(const serving::AskStore& question) {
+void StoreFollower::CatchUp(const serving::PollStore& question) {
   const Time asked = loop_.Now();
   store_.Watch(at_, kNoWait, [this, question, asked](auto result) {
     asking_ = false;
@@ -372,14 +372,15 @@
     }
     TakeChanges(*ValueOf(result), asked);
     TellConfirmed(question, asked);
-    feed_(serving::BackendsConfirmed{.era = store_.era(), .asked = asked});
+    feed_(
+        serving::BackendsConfirmed{.epoch = store_.era(), .queried_at = asked});
   });
 }
 
 void StoreFollower::OnAsked(
     platform::StoreResult<platform::Confirmation> result,
     const std::vector<platform::KnownRevision>& known,
-    const serving::AskStore& question, Time asked) {
+    const serving::PollStore& question, Time asked) {
   asking_ = false;
   const auto* confirmation = ValueOf(result);
   if (!Noted("confirm", FaultOf(result))) {
@@ -394,7 +395,8 @@
   if (std::holds_alternative<platform::Unchanged>(*confirmation)) {
     TellConfirmed(question, asked);
     if (all_asked) {
-      feed_(serving::BackendsConfirmed{.era = store_.era(), .asked = asked});
+      feed_(serving::BackendsConfirmed{.epoch = store_.era(),
+                                       .queried_at = asked});
     }
     return;
   }
@@ -404,16 +406,17 @@
   if (items.size() < known.size()) {
     List();
   } else if (all_asked) {
-    feed_(serving::BackendsConfirmed{.era = store_.era(), .asked = asked});
+    feed_(
+        serving::BackendsConfirmed{.epoch = store_.era(), .queried_at = asked});
   }
 }
 
-void StoreFollower::TellConfirmed(const serving::AskStore& question,
+void StoreFollower::TellConfirmed(const serving::PollStore& question,
                                   Time asked) {
   feed_(serving::ConfigurationConfirmed{
-      .revision = {.era = store_.era(),
+      .revision = {.epoch = store_.era(),
                    .number = question.configuration.number},
-      .asked = asked});
+      .queried_at = asked});
 }
 
 // Read from the store by each, one change would be n calls and n answers over
@@ -421,7 +424,7 @@
 void StoreFollower::ReadConfiguration(
     const serving::ReadConfiguration& wanted) {
   peer_calls_.Start(
-      {.address = wanted.from,
+      {.address = wanted.source_peer,
        .path = kConfigurationPath,
        .timeout = kPeerWithin,
        .silence = kPeerSilence,
@@ -435,7 +438,7 @@
          if (found == nullptr ||
              serving::IsNewer(wanted.wanted, found->configuration.stamp())) {
            LogInfo("configuration_not_told",
-                   {{"from", wanted.from},
+                   {{"from", wanted.source_peer},
                     {"wanted", std::to_string(wanted.wanted.version)}});
            ReadStored(wanted.wanted);
            return;
@@ -449,7 +452,7 @@
 // answered well enough by a read that may be old. It may also be of a history
 // that the store has lost: only that very one is taken.
 void StoreFollower::ReadStored(const serving::ConfigurationStamp& wanted) {
-  feed_(serving::StoreAsked{});
+  feed_(serving::StoreQueried{});
   store_.ReadConfiguration(/*may_be_old=*/true, [this, wanted](auto result) {
     const auto* items = ValueOf(result);
     if (items != nullptr && HasConfiguration(*items, wanted)) {
--- a/serving/include/scaleshed/serving/configuration.h
+++ b/serving/include/scaleshed/serving/configuration.h
@@ -39,16 +39,17 @@
 
 // How long a model engine takes, as the operators' configuration tells it.
 struct EngineTiming {
-  std::int64_t slots = 0;           // requests at once
-  std::int64_t memory_tokens = 0;   // of prompts and answers together
-  double step_ms = 0;               // one token for each writing request
-  double writer_ms = 0;             // more for each writing request, a step
-  double context_ms_per_1000 = 0;   // more for each 1,000 tokens of context
-  double read_tokens_per_ms = 1;    // of prompts
-  double pairs_ms_per_million = 0;  // for pairs of a token and one before it
+  std::int64_t slots = 0;            // requests at once
+  std::int64_t memory_tokens = 0;    // of prompts and answers together
+  double step_ms = 0;                // one token for each writing request
+  double step_ms_per_decoder = 0;    // more for each writing request, a step
+  double context_ms_per_1000 = 0;    // more for each 1,000 tokens of context
+  double prefill_tokens_per_ms = 1;  // of prompts
+  double attention_ms_per_million_pairs =
+      0;  // for pairs of a token and one before it
   std::int64_t tokens_per_event = 1;
-  std::int64_t chunk_tokens = 0;  // read at most in one step
-  double hop_ms = 0;              // a step of a prompt on several engines
+  std::int64_t prefill_chunk_tokens = 0;  // read at most in one step
+  double hop_ms = 0;  // a step of a prompt on several engines
 };
 
 struct Service {
@@ -69,7 +70,7 @@
   RequestKind kind = RequestKind::kOnce;
   Duration timeout{};        // the longest time to hold a request
   Duration objective{};      // to the answer, or to a stream's first event
-  Duration longest_pause{};  // between a stream's events; zero: not told
+  Duration max_event_gap{};  // between a stream's events; zero: not told
   int priority = 0;          // 0 goes first
   std::vector<ServiceShare> shares;
   int max_sends = 1;  // backend servers that may get one request
--- a/serving/include/scaleshed/serving/dispatch.h
+++ b/serving/include/scaleshed/serving/dispatch.h
@@ -19,51 +19,51 @@
 
 // Where does this prompt go? Asked again while no answer comes, and now and
 // then while the answer is to wait.
-struct PlaceQuestion {
-  std::string peer_address;  // who asks
-  std::uint64_t life = 0;    // of that daemon
-  std::uint64_t id = 0;      // of its request, and of the work it will be
-  std::uint64_t round = 0;   // rises with each attempt at the request
-  bool over = false;         // nobody waits for it any more
-  std::string request;       // the client's id of it, for the log
+struct PlacementRequest {
+  std::string peer_address;       // who asks
+  std::uint64_t incarnation = 0;  // of that daemon
+  std::uint64_t id = 0;           // of its request, and of the work it will be
+  std::uint64_t attempt_number = 0;  // rises with each attempt at the request
+  bool withdrawn = false;            // nobody waits for it any more
+  std::string request;               // the client's id of it, for the log
   std::string service;
   std::int64_t prompt_tokens = 0;
   std::int64_t answer_tokens = 0;  // at most
   Time arrived{};
   Time due{};  // the objective
   Time deadline{};
-  Duration longest_pause{};        // that keeps its answer in time
-  std::vector<BackendId> tried;    // not there again
-  std::vector<BackendId> resting;  // these want rest from who asks
-  std::uint64_t content = 0;       // zero: not told
+  Duration max_event_gap{};            // that keeps its answer in time
+  std::vector<BackendId> excluded;     // not there again
+  std::vector<BackendId> backing_off;  // these want rest from who asks
+  std::uint64_t fingerprint = 0;       // zero: not told
   // Who asks has seen that a server may have ended under it, and the placer may
   // hear that later than this.
-  bool doubtful = false;
+  bool crash_suspected = false;
 };
 
-enum class PlaceOutcome {
+enum class PlacementOutcome {
   kPlaced,
-  kWaits,    // in line; the placement follows by itself
+  kQueued,   // in line; the placement follows by itself
   kRefused,  // can't be served before its deadline
   kTooLarge,
 };
-inline constexpr NameTable<PlaceOutcome, 4> kPlaceOutcomeNames{{
-    {PlaceOutcome::kPlaced, "placed"},
-    {PlaceOutcome::kWaits, "waits"},
-    {PlaceOutcome::kRefused, "refused"},
-    {PlaceOutcome::kTooLarge, "too_large"},
+inline constexpr NameTable<PlacementOutcome, 4> kPlacementOutcomeNames{{
+    {PlacementOutcome::kPlaced, "placed"},
+    {PlacementOutcome::kQueued, "waits"},
+    {PlacementOutcome::kRefused, "refused"},
+    {PlacementOutcome::kTooLarge, "too_large"},
 }};
 
-struct PlaceAnswer {
-  std::string peer_address;  // who placed
-  std::uint64_t life = 0;    // as in the question
+struct PlacementResponse {
+  std::string peer_address;       // who placed
+  std::uint64_t incarnation = 0;  // as in the question
   std::uint64_t id = 0;
-  std::uint64_t round = 0;
-  PlaceOutcome outcome = PlaceOutcome::kWaits;
-  Placed placed;  // where it is
+  std::uint64_t attempt_number = 0;
+  PlacementOutcome outcome = PlacementOutcome::kQueued;
+  Placement placement;  // where it is
   // Servers there whose limits the placer knows, or that these are over: it has
   // counted the request against them.
-  std::vector<BackendId> counted;
+  std::vector<BackendId> rate_limits_counted;
   Shortage shortage{};     // what it waits for, or was refused for
   Duration retry_after{};  // after a refusal
 };
--- a/serving/include/scaleshed/serving/effects.h
+++ b/serving/include/scaleshed/serving/effects.h
@@ -18,9 +18,9 @@
 
 // An engine that reads a part of a prompt, with the name of the memory that is
 // set aside there, if any.
-struct Helper {
+struct PrefillHelper {
   std::string address;
-  std::string ticket;
+  std::string reservation_id;
 };
 
 // Sends a request to a backend server.
@@ -34,7 +34,7 @@
   bool stream = false;
   // Empty: from the beginning, or where the client's own request says.
   std::string resume_after;
-  std::vector<Helper> helpers;
+  std::vector<PrefillHelper> helpers;
 };
 
 // Breaks the connection, so that the backend server stops working.
@@ -53,7 +53,7 @@
   RequestKey key = 0;
   AttemptId attempt = 0;
 };
-struct PassEvent {
+struct ForwardEvent {
   RequestKey key = 0;
   std::string bytes;
 };
@@ -61,22 +61,22 @@
   RequestKey key = 0;
 };
 // Ends an answer that has begun so that it can't be taken for whole.
-struct BreakAnswer {
+struct AbortResponse {
   RequestKey key = 0;
 };
 
 // Why a request gets an answer of our own.
 enum class Refusal {
   kNoConfiguration,
-  kNotFresh,      // the configuration may be too old to go by
-  kListNotFresh,  // the list of backend servers may
+  kConfigurationStale,  // the configuration may be too old to go by
+  kBackendListStale,    // the list of backend servers may
   kUnknownRoute,
   kUnknownKey,
   kInvalid,
   kNoBackend,
   kOverload,
-  kLimited,  // the limits that the backend servers have named are used up
-  kResting,  // every backend server has asked this daemon for rest
+  kRateLimited,  // the limits that the backend servers have named are used up
+  kBackendsBackingOff,  // every backend server has asked this daemon for rest
   kStopping,
   kNotRun,   // every backend server that was asked declined
   kUnknown,  // it may have run, and no answer came
@@ -85,15 +85,15 @@
 };
 inline constexpr NameTable<Refusal, 15> kRefusalNames{{
     {Refusal::kNoConfiguration, "no_configuration"},
-    {Refusal::kNotFresh, "configuration_not_fresh"},
-    {Refusal::kListNotFresh, "list_not_fresh"},
+    {Refusal::kConfigurationStale, "configuration_not_fresh"},
+    {Refusal::kBackendListStale, "list_not_fresh"},
     {Refusal::kUnknownRoute, "unknown_route"},
     {Refusal::kUnknownKey, "unknown_key"},
     {Refusal::kInvalid, "invalid"},
     {Refusal::kNoBackend, "no_backend"},
     {Refusal::kOverload, "overload"},
-    {Refusal::kLimited, "limited"},
-    {Refusal::kResting, "resting"},
+    {Refusal::kRateLimited, "limited"},
+    {Refusal::kBackendsBackingOff, "resting"},
     {Refusal::kStopping, "stopping"},
     {Refusal::kNotRun, "not_run"},
     {Refusal::kUnknown, "unknown"},
@@ -103,7 +103,7 @@
 
 struct Refuse {
   RequestKey key = 0;
-  Refusal why = Refusal::kInvalid;
+  Refusal reason = Refusal::kInvalid;
   int status = 0;
   Duration retry_after{};  // zero: nothing is said
 };
@@ -111,25 +111,25 @@
 // Asks an engine to keep memory free under `ticket`, anew or for longer.
 struct ReserveMemory {
   AttemptId attempt = 0;
-  std::size_t index = 0;
+  std::size_t helper_index = 0;
   std::string address;
-  std::string ticket;
+  std::string reservation_id;
   std::int64_t tokens = 0;
-  Duration hold{};
+  Duration lease_duration{};
 };
 struct ReleaseMemory {
   std::string address;
-  std::string ticket;
+  std::string reservation_id;
 };
 
 // Asks an engine how it does. ReportSeen follows only where it answers.
-struct AskReport {
+struct FetchEngineReport {
   BackendId backend = 0;
   std::string address;
 };
 
 // Asks whether that life of a backend server is over. LifeSeen follows.
-struct AskLife {
+struct ProbeLiveness {
   BackendId backend = 0;
   std::string address;
 };
@@ -142,7 +142,7 @@
 
 // Asks the store whether what is known is the newest: of the configuration and
 // of all entries of backend servers. What is not comes as events of its own.
-struct AskStore {
+struct PollStore {
   StoreRevision configuration;
   // Ids and revisions of their entries.
   std::vector<std::pair<std::string, StoreRevision>> backends;
@@ -152,43 +152,43 @@
   ConfigurationStamp wanted;
   // A daemon that has it, by peer address. The store is asked where that one
   // does not tell.
-  std::string from;
+  std::string source_peer;
 };
 // Reads all that the store holds.
 struct ListStore {};
 // The store was restored from a copy: what this daemon has there may be lost.
-struct WriteEntryAgain {};
+struct RewriteOwnEntry {};
 // Notes in the store that this era of it is settled. SettledEraSeen follows.
-struct WriteSettledEra {
-  std::uint64_t era = 0;
+struct WriteReconciledEpoch {
+  std::uint64_t epoch = 0;
 };
 // Whether to be told by the store of what changes there.
 struct WatchStore {
-  bool on = false;
+  bool enabled = false;
 };
 
 // Writes these to the store, all or none, each under its condition; those
 // without lives are taken away. EndingsSaved follows.
-struct SaveEndings {
-  std::vector<StoredEndings> endings;
+struct SaveCrashes {
+  std::vector<StoredCrashes> crashes;
 };
 
 // One message to each; any may be lost.
-struct RelayStore {
+struct RelayStoreState {
   std::vector<std::pair<std::string, StoreRelay>> messages;  // by receiver
 };
 
-struct AskPlacer {
+struct RequestPlacement {
   std::string to;
-  PlaceQuestion question;
+  PlacementRequest request;
 };
-struct AnswerPlace {
+struct RespondToPlacement {
   std::string to;
-  PlaceAnswer answer;
+  PlacementResponse response;
 };
 
 struct LogDecision {
-  std::string what;
+  std::string event;
   std::vector<std::pair<std::string, std::string>> fields;
   // Goes as it should: may be left out where there are too many.
   bool routine = false;
@@ -198,46 +198,46 @@
   kRequests,
   kDelivered,
   kRefused,
-  kBroken,
-  kClientsGone,
+  kAbortedResponses,
+  kClientsDisconnected,
   kSends,
-  kRepeats,
-  kRepeatsDenied,
+  kRetries,
+  kRetriesDenied,
   kResumed,
   kSuspicions,
   kHelped,
-  kTickets,
-  kPlacesAsked,
-  kPlacersSilent,
-  kPlacedAlone,
+  kMemoryReservations,
+  kPlacementsRequested,
+  kPlacersTimedOut,
+  kPlacedLocally,
   kPlacedForOthers,
-  kEndings,
+  kCrashes,
   kQuarantined,
-  kInDoubt,
+  kCrashSuspected,
 };
 inline constexpr NameTable<Counter, 19> kCounterNames{{
     {Counter::kRequests, "requests"},
     {Counter::kDelivered, "delivered"},
     {Counter::kRefused, "refused"},
-    {Counter::kBroken, "broken"},
-    {Counter::kClientsGone, "clients_gone"},
+    {Counter::kAbortedResponses, "broken"},
+    {Counter::kClientsDisconnected, "clients_gone"},
     {Counter::kSends, "sends"},
-    {Counter::kRepeats, "repeats"},
-    {Counter::kRepeatsDenied, "repeats_denied"},
+    {Counter::kRetries, "repeats"},
+    {Counter::kRetriesDenied, "repeats_denied"},
     {Counter::kResumed, "resumed"},
     {Counter::kSuspicions, "suspicions"},
     {Counter::kHelped, "helped"},
-    {Counter::kTickets, "tickets"},
-    {Counter::kPlacesAsked, "places_asked"},
-    {Counter::kPlacersSilent, "placers_silent"},
-    {Counter::kPlacedAlone, "placed_alone"},
+    {Counter::kMemoryReservations, "tickets"},
+    {Counter::kPlacementsRequested, "places_asked"},
+    {Counter::kPlacersTimedOut, "placers_silent"},
+    {Counter::kPlacedLocally, "placed_alone"},
     {Counter::kPlacedForOthers, "placed_for_others"},
-    {Counter::kEndings, "endings"},
+    {Counter::kCrashes, "endings"},
     {Counter::kQuarantined, "quarantined"},
-    {Counter::kInDoubt, "in_doubt"},
+    {Counter::kCrashSuspected, "in_doubt"},
 }};
 
-struct Count {
+struct IncrementCounter {
   Counter counter = Counter::kRequests;
 };
 
@@ -259,11 +259,13 @@
 
 using Effect =
     std::variant<StartAttempt, CancelAttempt, DeliverAnswer, BeginStream,
-                 PassEvent, EndStream, BreakAnswer, Refuse, ReserveMemory,
-                 ReleaseMemory, AskReport, AskLife, PublishSnapshot, AskStore,
-                 ReadConfiguration, ListStore, WriteEntryAgain, WriteSettledEra,
-                 WatchStore, SaveEndings, RelayStore, AskPlacer, AnswerPlace,
-                 LogDecision, Count, ObserveLatency, ApplyLimits, Exit>;
+                 ForwardEvent, EndStream, AbortResponse, Refuse, ReserveMemory,
+                 ReleaseMemory, FetchEngineReport, ProbeLiveness,
+                 PublishSnapshot, PollStore, ReadConfiguration, ListStore,
+                 RewriteOwnEntry, WriteReconciledEpoch, WatchStore, SaveCrashes,
+                 RelayStoreState, RequestPlacement, RespondToPlacement,
+                 LogDecision, IncrementCounter, ObserveLatency, ApplyLimits,
+                 Exit>;
 using Effects = std::vector<Effect>;
 
 }  // namespace scaleshed::serving
--- a/serving/include/scaleshed/serving/events.h
+++ b/serving/include/scaleshed/serving/events.h
@@ -16,7 +16,7 @@
 namespace scaleshed::serving {
 
 // What deciding needs to know of a request. The driver keeps its bytes.
-struct RequestFacts {
+struct RequestMetadata {
   std::string id;  // the client's, new for each of its attempts
   std::string host;
   std::string path;  // without the query
@@ -27,16 +27,16 @@
   std::string last_event_id;
   // A hash of what a client sends again under a new id: method, host, path,
   // query and body. Zero: not told.
-  std::uint64_t content = 0;
+  std::uint64_t fingerprint = 0;
 };
 
 struct RequestArrived {
   RequestKey key = 0;
-  RequestFacts facts;
+  RequestMetadata metadata;
 };
 
 // Before its answer was complete.
-struct ClientGone {
+struct ClientDisconnected {
   RequestKey key = 0;
 };
 
@@ -50,15 +50,15 @@
 // How an answer that came whole is to be taken.
 enum class AnswerKind {
   kSuccess,
-  kFailure,  // the backend server's own, after it ran the request
-  kNotRun,   // the backend server says that it did not run it
-  kGone,     // as kNotRun: another backend server has that address
+  kFailure,   // the backend server's own, after it ran the request
+  kNotRun,    // the backend server says that it did not run it
+  kReplaced,  // as kNotRun: another backend server has that address
 };
 inline constexpr NameTable<AnswerKind, 4> kAnswerKindNames{{
     {AnswerKind::kSuccess, "success"},
     {AnswerKind::kFailure, "failure"},
     {AnswerKind::kNotRun, "not_run"},
-    {AnswerKind::kGone, "gone"},
+    {AnswerKind::kReplaced, "gone"},
 }};
 
 // The whole answer is there; the driver keeps it. For a stream: its end.
@@ -68,115 +68,115 @@
   int status = 0;
   // The address of the backend server that a refusal is due to, if not the one
   // that was asked.
-  std::string at_fault;
+  std::string refusing_address;
 };
 
 enum class AttemptError {
-  kNotSent,  // no byte left
-  kCut,      // sent; the answer broke off, never came or belongs to nobody
+  kNotSent,      // no byte left
+  kInterrupted,  // sent; the answer broke off, never came or belongs to nobody
 };
 inline constexpr NameTable<AttemptError, 2> kAttemptErrorNames{{
     {AttemptError::kNotSent, "not_sent"},
-    {AttemptError::kCut, "cut"},
+    {AttemptError::kInterrupted, "cut"},
 }};
 
 struct AttemptFailed {
   AttemptId attempt = 0;
-  AttemptError error = AttemptError::kCut;
+  AttemptError error = AttemptError::kInterrupted;
   std::string detail;
 };
 
 // What a backend server says of itself in the head of an answer.
-struct ServerWord {
+struct ServerSignals {
   // Requests a second that it takes from all daemons together; nothing: as many
   // as come.
-  std::optional<double> limit;
+  std::optional<double> rate_limit;
   // It is about to end and wants no new work. Never taken back by a life.
   bool leaving = false;
   // It refused, and wants nothing from this daemon for so long.
-  Duration rest{};
+  Duration backoff{};
 };
 
 // The head of an answer has come, whether or not the rest can be used. For a
 // stream: long before AttemptAnswered.
-struct AnswerBegun {
+struct ResponseHeadReceived {
   AttemptId attempt = 0;
-  ServerWord word;
+  ServerSignals signals;
   // That it names no limit doesn't count: it names something.
-  bool limit_unknown = false;
+  bool rate_limit_unreadable = false;
 };
 
 // The answer to ReserveMemory.
-struct MemoryAnswered {
+struct MemoryReservationAnswered {
   AttemptId attempt = 0;
-  std::size_t index = 0;
+  std::size_t helper_index = 0;
   bool granted = false;
 };
 
 // What an engine says of itself, a little late.
-struct ReportSeen {
+struct EngineReportReceived {
   BackendId backend = 0;
-  double pace = 1;  // its passes take so many times as long as they should
-  std::uint64_t born = 0;  // the life that says so; zero: not told
+  double slowdown = 1;  // its passes take so many times as long as they should
+  std::uint64_t start_unix_ms = 0;  // the life that says so; zero: not told
 };
 
 // What became of AskLife.
-enum class LifeSign {
-  kAnswered,  // something listens there and speaks
-  kRefused,   // nobody listens there
-  kNothing,   // neither was seen
-};
-inline constexpr NameTable<LifeSign, 3> kLifeSignNames{{
-    {LifeSign::kAnswered, "answered"},
-    {LifeSign::kRefused, "refused"},
-    {LifeSign::kNothing, "nothing"},
+enum class ProbeResult {
+  kAlive,         // something listens there and speaks
+  kRefused,       // nobody listens there
+  kInconclusive,  // neither was seen
+};
+inline constexpr NameTable<ProbeResult, 3> kProbeResultNames{{
+    {ProbeResult::kAlive, "answered"},
+    {ProbeResult::kRefused, "refused"},
+    {ProbeResult::kInconclusive, "nothing"},
 }};
-struct LifeSeen {
+struct LivenessProbed {
   BackendId backend = 0;
-  LifeSign sign = LifeSign::kNothing;
+  ProbeResult result = ProbeResult::kInconclusive;
 };
 
 // A configuration that is stored. `asked` is when the question was put whose
 // answer it is: then it was the newest.
-struct ConfigurationSeen {
+struct ConfigurationReceived {
   Configuration configuration;
-  Time asked{};
+  Time queried_at{};
 };
 
 // The store still held that revision of the configuration at `asked`.
 struct ConfigurationConfirmed {
   StoreRevision revision;
-  Time asked{};
+  Time queried_at{};
 };
 
 // All entries of backend servers that were there at `asked` have been told.
 struct BackendsConfirmed {
-  std::uint64_t era = 0;  // of the store that said so
-  Time asked{};
+  std::uint64_t epoch = 0;  // of the store that said so
+  Time queried_at{};
 };
 
 // All changes up to that revision of the store have been told.
-struct BackendsComplete {
+struct BackendChangesComplete {
   StoreRevision revision;
 };
 
 // An answer of the store names another era than the one before.
-struct StoreEraSeen {
-  std::uint64_t era = 0;
+struct StoreEpochObserved {
+  std::uint64_t epoch = 0;
 };
 
 // The store holds a note that the daemons got over the restore that began that
 // era; zero: the note is gone.
-struct SettledEraSeen {
-  std::uint64_t era = 0;
+struct ReconciledEpochObserved {
+  std::uint64_t epoch = 0;
 };
 
 // The store was asked for what ReadConfiguration wants, as no daemon told it.
-struct StoreAsked {};
+struct StoreQueried {};
 
 // Something of an answer of the store came to this daemon, of whichever, that
 // is more than a refusal to answer.
-struct StoreHeard {};
+struct StoreResponded {};
 
 // This daemon's own question to the store brought no answer.
 struct StoreUnreachable {};
@@ -202,21 +202,21 @@
   std::vector<BackendServer> backends;
   bool certain = true;
   StoreRevision revision;  // of the store
-  Time asked{};            // when the question was put
+  Time queried_at{};       // when the question was put
 };
 
 // What the store holds for a content, as a watch or a conflict tells it.
-struct EndingsStored {
-  StoredEndings endings;
+struct CrashesStored {
+  StoredCrashes crashes;
 };
 // All that it holds; others have no entry.
-struct AllEndingsListed {
-  std::vector<StoredEndings> endings;
+struct AllCrashesListed {
+  std::vector<StoredCrashes> crashes;
   StoreRevision revision;  // of the store
 };
 // The call of SaveEndings is over. What it wrote comes as EndingsStored, or in
 // a list.
-struct EndingsSaved {};
+struct SaveCrashesFinished {};
 
 // Where other daemons take snapshots, as registered at the platform.
 struct ListedPeer {
@@ -229,44 +229,46 @@
 
 // The store holds this daemon's entry until then, as far as it said. `anew`: it
 // was just written; else it has stood since it was.
-struct EntryHeld {
-  Time until{};
-  bool anew = false;
+struct OwnEntryConfirmed {
+  Time valid_until{};
+  bool newly_written = false;
 };
 // This daemon's entry is gone, or was asked to be taken away.
-struct EntryEnded {};
+struct OwnEntryRemoved {};
 // A restore may have lost this daemon's entry; it is being written again.
-struct EntryForgotten {};
+struct OwnEntryLost {};
 
 // So many daemons had an entry at `asked`.
 struct DaemonsCounted {
   std::size_t daemons = 0;
-  Time asked{};
+  Time queried_at{};
 };
 
 struct SnapshotReceived {
   LoadSnapshot snapshot;
 };
 
-struct PlaceQuestionReceived {
-  PlaceQuestion question;
+struct PlacementRequestReceived {
+  PlacementRequest request;
 };
-struct PlaceAnswerReceived {
-  PlaceAnswer answer;
+struct PlacementResponseReceived {
+  PlacementResponse response;
 };
 
 struct Tick {};
 struct StopRequested {};
 
 using EventBody = std::variant<
-    RequestArrived, ClientGone, StreamEvent, AttemptAnswered, AttemptFailed,
-    AnswerBegun, MemoryAnswered, ReportSeen, LifeSeen, ConfigurationSeen,
-    ConfigurationConfirmed, BackendsConfirmed, BackendsComplete, StoreEraSeen,
-    SettledEraSeen, StoreAsked, StoreHeard, StoreUnreachable,
-    StoreRelayReceived, BackendListed, BackendUnlisted, BackendsListed,
-    EndingsStored, AllEndingsListed, EndingsSaved, PeersListed, EntryHeld,
-    EntryEnded, EntryForgotten, DaemonsCounted, SnapshotReceived,
-    PlaceQuestionReceived, PlaceAnswerReceived, Tick, StopRequested>;
+    RequestArrived, ClientDisconnected, StreamEvent, AttemptAnswered,
+    AttemptFailed, ResponseHeadReceived, MemoryReservationAnswered,
+    EngineReportReceived, LivenessProbed, ConfigurationReceived,
+    ConfigurationConfirmed, BackendsConfirmed, BackendChangesComplete,
+    StoreEpochObserved, ReconciledEpochObserved, StoreQueried, StoreResponded,
+    StoreUnreachable, StoreRelayReceived, BackendListed, BackendUnlisted,
+    BackendsListed, CrashesStored, AllCrashesListed, SaveCrashesFinished,
+    PeersListed, OwnEntryConfirmed, OwnEntryRemoved, OwnEntryLost,
+    DaemonsCounted, SnapshotReceived, PlacementRequestReceived,
+    PlacementResponseReceived, Tick, StopRequested>;
 
 struct Event {
   Time now;
--- a/serving/include/scaleshed/serving/reducer.h
+++ b/serving/include/scaleshed/serving/reducer.h
@@ -24,14 +24,14 @@
 
 // Whether the newest configuration that is known lies in a history that the
 // store has lost, and the operators have not written it again.
-bool AwaitsOperators(const State& state);
+bool AwaitsConfigurationRewrite(const State& state);
 
 // The addresses that a client in `data_centre` may use, and for how long.
-struct LookUpAnswer {
+struct ClientAddresses {
   std::vector<std::string> addresses;
-  Duration keep{};
+  Duration time_to_live{};
 };
-LookUpAnswer LookUp(const State& state);
+ClientAddresses LookUpClientAddresses(const State& state);
 
 }  // namespace scaleshed::serving
 
--- a/serving/include/scaleshed/serving/repeat_budget.h
+++ b/serving/include/scaleshed/serving/repeat_budget.h
@@ -8,7 +8,7 @@
 
 namespace scaleshed::serving {
 
-struct RepeatBudgetOptions {
+struct RetryBudgetOptions {
   double ratio = 0.2;             // repeats for each request, over the fleet
   double slack = 0;               // repeats besides, over the fleet
   Duration window = seconds(10);  // sliding
@@ -16,11 +16,11 @@
 
 // What one daemon has counted of a service within the window that ends now, and
 // how many repeats it may have made by that.
-struct RepeatAccount {
+struct RetryUsage {
   std::size_t requests = 0;
-  std::size_t repeats = 0;  // that were sent
-  std::size_t planned = 0;  // that are allowed and wait to be sent
-  double room = 0;
+  std::size_t retries = 0;   // that were sent
+  std::size_t reserved = 0;  // that are allowed and wait to be sent
+  double available = 0;
 };
 
 // Bounds the sends of one daemon to one service that are not the first of their
@@ -30,30 +30,30 @@
 // decided and counts in the window when it leaves, as it arrives then: it may
 // wait for longer than a window in between. Every window of that length is
 // kept, wherever it begins.
-class RepeatBudget {
+class RetryBudget {
  public:
-  explicit RepeatBudget(const RepeatBudgetOptions& options = {})
+  explicit RetryBudget(const RetryBudgetOptions& options = {})
       : options_(options) {}
 
   void CountRequest(Time now);
   // Sets room aside for a repeat. False where there is none. `part`: of the
   // slack, from nothing to one.
-  bool Plan(Time now, double part);
+  bool ReserveRetry(Time now, double part);
   // Takes a planned repeat for sent. False where there is no room for it any
   // more: it is planned no longer, and must not be sent.
-  bool Send(Time now, double part);
+  bool CommitRetry(Time now, double part);
   // A planned repeat that is not sent.
-  void Drop() { --planned_; }
+  void ReleaseRetry() { --reserved_; }
 
-  RepeatAccount Account(Time now, double part);
+  RetryUsage Usage(Time now, double part);
 
  private:
-  void Forget(Time now);
+  void DropExpired(Time now);
 
-  RepeatBudgetOptions options_;
+  RetryBudgetOptions options_;
   std::deque<Time> requests_;
-  std::deque<Time> repeats_;
-  std::size_t planned_ = 0;
+  std::deque<Time> retries_;
+  std::size_t reserved_ = 0;
 };
 
 }  // namespace scaleshed::serving
--- a/serving/include/scaleshed/serving/slack_share.h
+++ b/serving/include/scaleshed/serving/slack_share.h
@@ -12,16 +12,16 @@
 
 // Why a daemon has a part of the slack, or none.
 enum class ShareState {
-  kHeld,      // an even part
-  kNoEntry,   // the store is not known to hold its entry
-  kYoung,     // its entry, or its life, is too young
-  kCountOld,  // how many daemons there are was not told for too long
+  kHeld,        // an even part
+  kNoEntry,     // the store is not known to hold its entry
+  kTooRecent,   // its entry, or its life, is too young
+  kCountStale,  // how many daemons there are was not told for too long
 };
 inline constexpr NameTable<ShareState, 4> kShareStateNames{{
     {ShareState::kHeld, "held"},
     {ShareState::kNoEntry, "no_entry"},
-    {ShareState::kYoung, "young"},
-    {ShareState::kCountOld, "count_old"},
+    {ShareState::kTooRecent, "young"},
+    {ShareState::kCountStale, "count_old"},
 }};
 
 // One daemon's part of the slack of repeats that all daemons share, such that
@@ -46,21 +46,21 @@
 
   // The store holds this daemon's entry until `until`. `anew`: the entry was
   // written, by `now`; else it has stood since it was.
-  void EntryHeld(Time now, Time until, bool anew);
+  void OnEntryConfirmed(Time now, Time until, bool anew);
   // Asked to be taken away, or known to be gone.
-  void EntryEnded() { entry_until_ = Time{}; }
+  void OnEntryRemoved() { entry_until_ = Time{}; }
   // The store may have lost it. Others go by the number of before for a while.
-  void EntryForgotten(Time now);
+  void OnEntryLost(Time now);
   // `asked`: when the store was asked whose answer it is.
-  void DaemonsCounted(Time asked) {
+  void OnDaemonsCounted(Time asked) {
     counted_at_ = std::max(counted_at_, asked);
   }
   // The largest number of daemons that is known now, from whatever source.
-  void NoteDaemons(Time now, std::size_t daemons);
+  void RecordDaemonCount(Time now, std::size_t daemons);
 
   ShareState StateAt(Time now) const;
   // From nothing to one.
-  double PartAt(Time now) const;
+  double FractionAt(Time now) const;
   // What the part is shared among.
   std::size_t daemons() const;
 
@@ -70,7 +70,7 @@
   Time entry_until_{};
   Time counted_at_{};
   // Falling numbers, each the largest since the one before it was last known.
-  std::deque<std::pair<Time, std::size_t>> numbers_;
+  std::deque<std::pair<Time, std::size_t>> daemon_counts_;
 };
 
 }  // namespace scaleshed::serving
--- a/serving/include/scaleshed/serving/start_meter.h
+++ b/serving/include/scaleshed/serving/start_meter.h
@@ -10,24 +10,24 @@
 // begins empty, as whoever begins to meter doesn't know what was just sent.
 // Starts by others are taken as they are heard of, beyond what the bucket holds
 // too: they are owed, so that the sum keeps to the rate.
-class StartMeter {
+class StartRateLimiter {
  public:
-  StartMeter() = default;
-  explicit StartMeter(Time now) : at_(now) {}
+  StartRateLimiter() = default;
+  explicit StartRateLimiter(Time now) : updated_at_(now) {}
 
   // `per_second`: over zero.
   void SetRate(Time now, double per_second);
-  void Take(Time now);
-  bool HasStart(Time now) const { return StartsAt(now) >= 1; }
+  void TakeToken(Time now);
+  bool HasToken(Time now) const { return TokensAt(now) >= 1; }
   // Until there is one, if nobody takes it.
-  Duration UntilStart(Time now) const;
+  Duration TimeUntilToken(Time now) const;
 
  private:
-  double StartsAt(Time now) const;
+  double TokensAt(Time now) const;
 
   double per_second_ = 0;
-  double starts_ = 0;  // at `at_`; below zero: owed
-  Time at_{};
+  double tokens_ = 0;  // at `at_`; below zero: owed
+  Time updated_at_{};
 };
 
 }  // namespace scaleshed::serving
--- a/serving/include/scaleshed/serving/store_relay.h
+++ b/serving/include/scaleshed/serving/store_relay.h
@@ -23,10 +23,11 @@
   std::int64_t slots = 1;
   bool leaving = false;
   StoreRevision revision;  // of its entry
-  std::uint64_t born = 0;  // start of this life, Unix ms; zero: not told
+  std::uint64_t start_unix_ms =
+      0;  // start of this life, Unix ms; zero: not told
   // Why the entry names no backend server to use; empty: it names one. Anybody
   // may have written it, so that nothing else of it counts then.
-  std::string fault;
+  std::string entry_error;
 };
 
 // All that a daemon knows of the store, to be compared with what another one
@@ -35,7 +36,7 @@
   ConfigurationStamp configuration;
   // A hash of ids, of the entries and of their revisions within the era.
   std::uint64_t backends = 0;
-  std::uint64_t endings = 0;  // Quarantine::digest
+  std::uint64_t crashes = 0;  // Quarantine::digest
   bool operator==(const StoreDigest&) const = default;
 };
 
@@ -52,15 +53,15 @@
 // asker last heard of the receiver, so that nothing gets younger on its way.
 struct StoreRelay {
   std::string peer_address;  // who asked
-  std::uint64_t era = 0;     // of the store, as last heard
+  std::uint64_t epoch = 0;   // of the store, as last heard
   StoreDigest digest;        // of what it knows
   std::vector<BackendChange> changes;
-  std::vector<StoredEndings> endings;
+  std::vector<StoredCrashes> crashes;
   // The store's revision up to which it has been told of every change.
-  StoreRevision complete_at;
+  StoreRevision complete_up_to;
   // How long ago it put the question whose answer was that the entries of
   // `digest` are the newest; nothing: no proof, news only.
-  std::optional<Duration> age;
+  std::optional<Duration> backends_age;
   // The same of the configuration.
   std::optional<Duration> configuration_age;
   // How many daemons had an entry so long ago; with a proof only. No entries
@@ -68,7 +69,7 @@
   std::size_t daemons = 0;
   std::optional<Duration> daemons_age;
   // The receiver's last snapshot that the asker had when it sent this.
-  std::uint64_t heard_life = 0;
+  std::uint64_t heard_incarnation = 0;
   std::uint64_t heard_sequence = 0;
 };
 
--- a/serving/include/scaleshed/serving/store_revision.h
+++ b/serving/include/scaleshed/serving/store_revision.h
@@ -11,18 +11,18 @@
 // content. So two of them are compared within an era only; whatever a later era
 // brings was written, or restored, later.
 struct StoreRevision {
-  std::uint64_t era = 0;     // how often it had been restored; zero: not told
+  std::uint64_t epoch = 0;   // how often it had been restored; zero: not told
   std::uint64_t number = 0;  // zero: none
   auto operator<=>(const StoreRevision&) const = default;
 };
 
 // Between two words of it a store isn't restored so often.
-inline constexpr std::uint64_t kMostRestoresAtOnce = 1000;
+inline constexpr std::uint64_t kMaxEpochAdvance = 1000;
 
 // Whether a store that was in the era `known` may be in `told` now. Zero: none
 // was told.
-constexpr bool IsPlausibleEra(std::uint64_t known, std::uint64_t told) {
-  return known == 0 || told <= known || told - known <= kMostRestoresAtOnce;
+constexpr bool IsPlausibleEpoch(std::uint64_t known, std::uint64_t told) {
+  return known == 0 || told <= known || told - known <= kMaxEpochAdvance;
 }
 
 // Which configuration it is, and where the store held it.
@@ -39,7 +39,7 @@
 constexpr bool IsNewer(const ConfigurationStamp& a,
                        const ConfigurationStamp& b) {
   const bool by_version =
-      a.revision.era != b.revision.era && a.version != b.version;
+      a.revision.epoch != b.revision.epoch && a.version != b.version;
   return by_version ? a.version > b.version : a.revision > b.revision;
 }
 
--- a/serving/src/admission.cc
+++ b/serving/src/admission.cc
@@ -65,13 +65,14 @@
 
 void RefuseAtOnce(State& state, const RequestArrived& event, Refusal why,
                   Duration retry_after) {
-  Request request{.key = event.key, .facts = event.facts};
+  Request request{.key = event.key, .metadata = event.metadata};
   request.arrived = state.now;
   RefuseRequest(state, request, why, retry_after);
 }
 
 // The account that the request's key belongs to; nothing if there is none.
-const ClientAccount* AccountOf(const State& state, const RequestFacts& facts) {
+const ClientAccount* AccountOf(const State& state,
+                               const RequestMetadata& facts) {
   if (facts.keys.size() != 1) return nullptr;
   return state.configuration->FindAccount(facts.keys.front());
 }
@@ -80,7 +81,7 @@
 Duration ElsewhereOrLater(const State& state) {
   const bool any = std::any_of(
       state.members.begin(), state.members.end(), [&](const auto& it) {
-        return IsHeard(state, it.second) && it.second.snapshot.serving;
+        return IsLive(state, it.second) && it.second.snapshot.serving;
       });
   return any ? kElsewhere : kLater;
 }
@@ -92,13 +93,14 @@
     RefuseAtOnce(state, event, Refusal::kNoConfiguration, kLater);
     return true;
   }
-  const RequestFacts& facts = event.facts;
+  const RequestMetadata& facts = event.metadata;
   route = state.configuration->FindRoute(facts.host, facts.path);
   const bool fresh = IsFresh(state);
   // What an old configuration knows, or doesn't, may be otherwise in the
   // newest.
-  if (!KnowsConfiguration(state) || (route == nullptr && !fresh)) {
-    RefuseAtOnce(state, event, Refusal::kNotFresh, ElsewhereOrLater(state));
+  if (!IsConfigurationUsable(state) || (route == nullptr && !fresh)) {
+    RefuseAtOnce(state, event, Refusal::kConfigurationStale,
+                 ElsewhereOrLater(state));
     return true;
   }
   if (route == nullptr) {
@@ -106,15 +108,17 @@
     return true;
   }
   // A backend server may have left since.
-  if (!KnowsBackends(state)) {
-    RefuseAtOnce(state, event, Refusal::kListNotFresh, ElsewhereOrLater(state));
+  if (!AreBackendsUsable(state)) {
+    RefuseAtOnce(state, event, Refusal::kBackendListStale,
+                 ElsewhereOrLater(state));
     return true;
   }
   const bool keyed = !route->is_public &&
                      !state.configuration->configuration().accounts.empty();
   if (!keyed) return false;
   if (!fresh) {
-    RefuseAtOnce(state, event, Refusal::kNotFresh, ElsewhereOrLater(state));
+    RefuseAtOnce(state, event, Refusal::kConfigurationStale,
+                 ElsewhereOrLater(state));
     return true;
   }
   account = AccountOf(state, facts);
@@ -127,7 +131,8 @@
 
 // Whether this daemon has yet to hear for the first time what is in force.
 bool IsEarly(const State& state) {
-  return IsYoung(state) && !state.stop_at && ProvedAt(state) == Time{};
+  return IsWarmingUp(state) && !state.stop_at &&
+         StoreConfirmedAt(state) == Time{};
 }
 
 void Take(State& state, const RequestArrived& event, Time arrived) {
@@ -139,24 +144,27 @@
     RefuseAtOnce(state, event, Refusal::kStopping, kElsewhere);
     return;
   }
-  Request request{.key = event.key, .facts = event.facts, .route = *route};
+  Request request{
+      .key = event.key, .metadata = event.metadata, .route = *route};
   request.service = PickService(state, *route);
   if (account != nullptr) request.account = account->name;
-  if (request.facts.content != 0) {
-    request.facts.content = HashBytes(request.account, request.facts.content);
+  if (request.metadata.fingerprint != 0) {
+    request.metadata.fingerprint =
+        HashBytes(request.account, request.metadata.fingerprint);
   }
   request.arrived = arrived;
   request.due = arrived + route->objective;
-  Duration limit = event.facts.deadline;
+  Duration limit = event.metadata.deadline;
   if (limit <= Duration::zero()) limit = kDefaultDeadline;
   if (route->timeout > Duration::zero()) {
     limit = std::min(limit, route->timeout);
   }
   request.deadline = arrived + limit;
-  request.last_event_id = event.facts.last_event_id;
+  request.last_event_id = event.metadata.last_event_id;
   const Service* service = state.configuration->FindService(request.service);
   if (service != nullptr && service->engine) {
-    request.read = ReadTime(*service->engine, event.facts.prompt_tokens);
+    request.prefill_time =
+        PrefillTime(*service->engine, event.metadata.prompt_tokens);
   }
   CountRequest(state, request);
   Request& kept =
@@ -166,104 +174,106 @@
 
 }  // namespace
 
-void Admit(State& state, const RequestArrived& event) {
-  state.effects.emplace_back(Count{Counter::kRequests});
-  if (IsEarly(state) && state.early.size() < kMostEarly) {
-    state.early.push_back({.request = event, .arrived = state.now});
+void AdmitRequest(State& state, const RequestArrived& event) {
+  state.effects.emplace_back(IncrementCounter{Counter::kRequests});
+  if (IsEarly(state) && state.early_requests.size() < kMostEarly) {
+    state.early_requests.push_back({.request = event, .arrived = state.now});
     return;
   }
   Take(state, event, state.now);
 }
 
-void AdmitEarly(State& state) {
+void AdmitEarlyRequests(State& state) {
   const bool early = IsEarly(state);
-  while (!state.early.empty()) {
-    if (early && state.now < state.early.front().arrived + kEarlyWithin) return;
-    const EarlyRequest it = std::move(state.early.front());
-    state.early.pop_front();
+  while (!state.early_requests.empty()) {
+    if (early &&
+        state.now < state.early_requests.front().arrived + kEarlyWithin)
+      return;
+    const EarlyRequest it = std::move(state.early_requests.front());
+    state.early_requests.pop_front();
     Log(state, "early",
-        {{"request", it.request.facts.id},
+        {{"request", it.request.metadata.id},
          {"waited_ms", Millis(state.now - it.arrived)},
          {"known", early ? "false" : "true"}});
     Take(state, it.request, it.arrived);
   }
 }
 
-void OnClientGone(State& state, const ClientGone& event) {
-  std::erase_if(state.early, [&](const EarlyRequest& it) {
+void OnClientGone(State& state, const ClientDisconnected& event) {
+  std::erase_if(state.early_requests, [&](const EarlyRequest& it) {
     return it.request.key == event.key;
   });
   const auto it = state.requests.find(event.key);
   if (it == state.requests.end()) return;
   Request& request = it->second;
-  state.effects.emplace_back(Count{Counter::kClientsGone});
-  WithdrawPlace(state, request);
+  state.effects.emplace_back(IncrementCounter{Counter::kClientsDisconnected});
+  WithdrawPlacement(state, request);
   Log(state, "client_gone",
-      {{"request", request.facts.id},
+      {{"request", request.metadata.id},
        {"phase", std::string(NameIn(kPhaseNames, request.phase))},
        {"after_ms", Millis(state.now - request.arrived)}});
-  DropAttempt(state, request, true);
-  Forget(state, event.key);
+  EndAttempt(state, request, true);
+  EraseRequest(state, event.key);
 }
 
 void RefuseRequest(State& state, Request& request, Refusal why,
                    Duration retry_after) {
-  WithdrawPlace(state, request);
-  DropAttempt(state, request, true);
+  WithdrawPlacement(state, request);
+  EndAttempt(state, request, true);
   const int status = StatusOf(why, request.may_have_run);
-  if (request.begun) {
-    state.effects.emplace_back(Count{Counter::kBroken});
-    state.effects.emplace_back(BreakAnswer{.key = request.key});
+  if (request.response_started) {
+    state.effects.emplace_back(IncrementCounter{Counter::kAbortedResponses});
+    state.effects.emplace_back(AbortResponse{.key = request.key});
   } else {
-    state.effects.emplace_back(Count{Counter::kRefused});
+    state.effects.emplace_back(IncrementCounter{Counter::kRefused});
     state.effects.emplace_back(Refuse{.key = request.key,
-                                      .why = why,
+                                      .reason = why,
                                       .status = status,
                                       .retry_after = status == kUnavailable
                                                          ? retry_after
                                                          : Duration::zero()});
   }
-  Log(state, request.begun ? "broken" : "refused",
-      {{"request", request.facts.id},
-       {"content", ContentText(request.facts.content)},
+  Log(state, request.response_started ? "broken" : "refused",
+      {{"request", request.metadata.id},
+       {"content", FingerprintText(request.metadata.fingerprint)},
        {"why", std::string(NameIn(kRefusalNames, why))},
        {"status", std::to_string(status)},
        {"route", request.route.name},
        {"account", request.account},
        {"after_ms", Millis(state.now - request.arrived)},
-       {"runs", std::to_string(request.runs)},
-       {"refusals", std::to_string(request.refusals)},
+       {"runs", std::to_string(request.possible_runs)},
+       {"refusals", std::to_string(request.declined_sends)},
        {"may_have_run", request.may_have_run ? "true" : "false"},
        {"confirmed_ms_ago", Millis(state.now - state.confirmed_at)},
        {"listed_ms_ago",
         Millis(state.now - state.store.backends_confirmed_at)}});
-  Forget(state, request.key);
+  EraseRequest(state, request.key);
 }
 
-void DropAttempt(State& state, Request& request, bool cancel) {
-  ReleaseMemoryOf(state, request);
+void EndAttempt(State& state, Request& request, bool cancel) {
+  ReleaseReservations(state, request);
   if (request.attempt == 0) return;
   if (cancel) {
     state.effects.emplace_back(CancelAttempt{.attempt = request.attempt});
   }
   state.attempts.erase(request.attempt);
   request.attempt = 0;
-  state.changed = true;
+  state.has_unpublished_changes = true;
 }
 
 void Requeue(State& state, Request& request, Duration pause) {
-  DropAttempt(state, request, false);
+  EndAttempt(state, request, false);
   request.phase = Phase::kWaiting;
   request.retry_at = state.now + pause;
 }
 
-void Forget(State& state, RequestKey key) {
+void EraseRequest(State& state, RequestKey key) {
   const auto it = state.requests.find(key);
   // Refused before it was taken.
   if (it == state.requests.end()) return;
-  DropRepeat(state, it->second);
+  ReleaseRetry(state, it->second);
   state.requests.erase(it);
-  state.changed = true;
+  state.has_unpublished_changes = true;
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/attempts.cc
+++ b/serving/src/attempts.cc
@@ -28,22 +28,22 @@
 
 void Finish(State& state, Request& request) {
   Log(state, "answered",
-      {{"request", request.facts.id},
+      {{"request", request.metadata.id},
        {"route", request.route.name},
        {"account", request.account},
        {"backend", request.backend_name},
-       {"runs", std::to_string(request.runs)},
-       {"prompt", std::to_string(request.facts.prompt_tokens)},
-       {"helpers", std::to_string(request.work.helpers.size())},
+       {"runs", std::to_string(request.possible_runs)},
+       {"prompt", std::to_string(request.metadata.prompt_tokens)},
+       {"helpers", std::to_string(request.active_request.helpers.size())},
        {"waited_ms", Millis(request.sent_at - request.arrived)},
-       {"expected_ms", Millis(request.expected_first)},
-       {"first_ms", Millis(request.first_after)},
-       {"pause_ms", Millis(request.longest_seen)},
+       {"expected_ms", Millis(request.expected_time_to_first_token)},
+       {"first_ms", Millis(request.time_to_first_token)},
+       {"pause_ms", Millis(request.longest_event_gap)},
        {"after_ms", Millis(state.now - request.arrived)}},
-      /*routine=*/request.runs == 1 && request.refusals == 0);
-  state.effects.emplace_back(Count{Counter::kDelivered});
-  DropAttempt(state, request, false);
-  Forget(state, request.key);
+      /*routine=*/request.possible_runs == 1 && request.declined_sends == 0);
+  state.effects.emplace_back(IncrementCounter{Counter::kDelivered});
+  EndAttempt(state, request, false);
+  EraseRequest(state, request.key);
 }
 
 void ObserveFirst(State& state, const Request& request) {
@@ -54,30 +54,32 @@
 }
 
 void SendAgain(State& state, Request& request) {
-  request.tried.insert(request.backend);
-  DropAttempt(state, request, true);
+  request.excluded.insert(request.backend);
+  EndAttempt(state, request, true);
   request.phase = Phase::kWaiting;
   request.retry_at = state.now;
-  if (request.begun) state.effects.emplace_back(Count{Counter::kResumed});
+  if (request.response_started)
+    state.effects.emplace_back(IncrementCounter{Counter::kResumed});
   TryStart(state, request);
 }
 
 // The send may have run and brought no whole answer.
 void Lost(State& state, Request& request, const std::string& why) {
   request.may_have_run = true;
-  CheckLife(state, request, request.backend);
-  for (const BackendId it : request.work.helpers) CheckLife(state, request, it);
-  const NoRepeat forbids = ForbidsRerun(state, request);
+  CheckLiveness(state, request, request.backend);
+  for (const BackendId it : request.active_request.helpers)
+    CheckLiveness(state, request, it);
+  const RetryDenial forbids = ReserveRerun(state, request);
   Log(state, "lost",
-      {{"request", request.facts.id},
+      {{"request", request.metadata.id},
        {"attempt", std::to_string(request.attempt)},
-       {"content", ContentText(request.facts.content)},
+       {"content", FingerprintText(request.metadata.fingerprint)},
        {"backend", request.backend_name},
        {"why", why},
-       {"begun", request.begun ? "true" : "false"},
+       {"begun", request.response_started ? "true" : "false"},
        {"last_event", request.last_event_id},
-       {"no_repeat_for", std::string(NameIn(kNoRepeatNames, forbids))}});
-  if (forbids == NoRepeat::kNothing) {
+       {"no_repeat_for", std::string(NameIn(kRetryDenialNames, forbids))}});
+  if (forbids == RetryDenial::kNothing) {
     SendAgain(state, request);
     return;
   }
@@ -86,22 +88,22 @@
 
 // The send did not run.
 void Declined(State& state, Request& request) {
-  --request.runs;
-  ++request.refusals;
-  if (ForbidsRepeat(state, request) == NoRepeat::kNothing) {
+  --request.possible_runs;
+  ++request.declined_sends;
+  if (ReserveRetry(state, request) == RetryDenial::kNothing) {
     SendAgain(state, request);
     return;
   }
-  RefuseRequest(state, request, Refusal::kNotRun, kAfterRefusals);
+  RefuseRequest(state, request, Refusal::kNotRun, kRetryAfterDeclined);
 }
 
 void OnFailureAnswer(State& state, Request& request,
                      const AttemptAnswered& event) {
-  NoteBadAnswer(state, request.backend);
+  RecordFailedResponse(state, request.backend);
   request.may_have_run = true;
   constexpr int kFirstServerError = 500;
   const bool again = event.status >= kFirstServerError &&
-                     ForbidsRerun(state, request) == NoRepeat::kNothing;
+                     ReserveRerun(state, request) == RetryDenial::kNothing;
   if (again) {
     SendAgain(state, request);
     return;
@@ -115,22 +117,22 @@
   state.effects.emplace_back(
       DeliverAnswer{.key = request.key, .attempt = event.attempt});
   Log(state, "delivered_failure",
-      {{"request", request.facts.id},
+      {{"request", request.metadata.id},
        {"status", std::to_string(event.status)},
        {"backend", request.backend_name},
-       {"runs", std::to_string(request.runs)}});
+       {"runs", std::to_string(request.possible_runs)}});
   Finish(state, request);
 }
 
 void OnSuccess(State& state, Request& request, const AttemptAnswered& event) {
-  Acquit(state, request);
-  NoteSuccess(state, request.backend);
+  ClearAfterSuccess(state, request);
+  RecordSuccess(state, request.backend);
   if (!IsStream(request.route.kind)) {
     ObserveFirst(state, request);
     state.effects.emplace_back(
         DeliverAnswer{.key = request.key, .attempt = event.attempt});
   } else {
-    if (!request.begun) {
+    if (!request.response_started) {
       state.effects.emplace_back(
           BeginStream{.key = request.key, .attempt = event.attempt});
     }
@@ -143,8 +145,8 @@
                  const std::string& address) {
   for (auto& [name, backend] : state.backends) {
     if (backend.server.address == address) {
-      CheckLife(state, request, backend.id);
-      NoteFailure(state, backend.id, "at_fault");
+      CheckLiveness(state, request, backend.id);
+      RecordFailure(state, backend.id, "at_fault");
       return;
     }
   }
@@ -155,38 +157,38 @@
 void OnStreamEvent(State& state, const StreamEvent& event) {
   Request* request = RequestOf(state, event.attempt);
   if (request == nullptr) return;
-  if (!request->work.writing) {
-    ++request->arrivals;
-    request->first_after = state.now - request->sent_at;
-    request->work.writing = true;
-    state.changed = true;
-    NoteSuccess(state, request->backend);
+  if (!request->active_request.decoding) {
+    ++request->delivered_sends;
+    request->time_to_first_token = state.now - request->sent_at;
+    request->active_request.decoding = true;
+    state.has_unpublished_changes = true;
+    RecordSuccess(state, request->backend);
   }
-  if (!request->begun) {
-    request->begun = true;
+  if (!request->response_started) {
+    request->response_started = true;
     ObserveFirst(state, *request);
     state.effects.emplace_back(
         BeginStream{.key = request->key, .attempt = event.attempt});
   }
   if (request->last_event_at != Time{}) {
-    request->longest_seen =
-        std::max(request->longest_seen, state.now - request->last_event_at);
+    request->longest_event_gap = std::max(request->longest_event_gap,
+                                          state.now - request->last_event_at);
   }
-  NoteSign(state, request->backend);
+  RecordAlive(state, request->backend);
   request->last_event_at = state.now;
-  request->sign_at = state.now;
+  request->backend_alive_at = state.now;
   if (!event.id.empty()) request->last_event_id = event.id;
   state.effects.emplace_back(
-      PassEvent{.key = request->key, .bytes = event.bytes});
-  request->progress_by =
+      ForwardEvent{.key = request->key, .bytes = event.bytes});
+  request->progress_deadline =
       state.now +
-      std::max(kSilentPauses * request->route.longest_pause, kLeastSilence);
+      std::max(kSilentPauses * request->route.max_event_gap, kLeastSilence);
 }
 
 void OnAnswered(State& state, const AttemptAnswered& event) {
   Request* request = RequestOf(state, event.attempt);
   if (request == nullptr) return;
-  ++request->arrivals;
+  ++request->delivered_sends;
   switch (event.kind) {
     case AnswerKind::kSuccess:
       OnSuccess(state, *request, event);
@@ -194,50 +196,51 @@
     case AnswerKind::kFailure:
       OnFailureAnswer(state, *request, event);
       return;
-    case AnswerKind::kGone:
-      NoteGone(state, request->backend, "address_taken");
+    case AnswerKind::kReplaced:
+      RecordBackendGone(state, request->backend, "address_taken");
       break;
     case AnswerKind::kNotRun:
-      NoteAtFault(state, *request, event.at_fault);
+      NoteAtFault(state, *request, event.refusing_address);
       break;
   }
   Log(state, "declined",
-      {{"request", request->facts.id},
+      {{"request", request->metadata.id},
        {"attempt", std::to_string(event.attempt)},
        {"backend", request->backend_name},
        {"status", std::to_string(event.status)},
        {"kind", std::string(NameIn(kAnswerKindNames, event.kind))},
-       {"at_fault", event.at_fault}});
+       {"at_fault", event.refusing_address}});
   Declined(state, *request);
 }
 
 void OnFailed(State& state, const AttemptFailed& event) {
   Request* request = RequestOf(state, event.attempt);
   if (request == nullptr) return;
-  NoteFailure(state, request->backend, event.detail);
+  RecordFailure(state, request->backend, event.detail);
   if (event.error == AttemptError::kNotSent) {
     Log(state, "not_sent",
-        {{"request", request->facts.id},
+        {{"request", request->metadata.id},
          {"backend", request->backend_name},
          {"why", event.detail}});
     Declined(state, *request);
     return;
   }
-  ++request->arrivals;
+  ++request->delivered_sends;
   Lost(state, *request, event.detail);
 }
 
-void LoseWorkAt(State& state, BackendId life) {
-  EndLife(state, life);
+void FailAttemptsAt(State& state, BackendId life) {
+  EndIncarnation(state, life);
   // News of the new life may have taken so long: what was sent since may be in
   // work there.
-  const Time sent_before = state.now - state.options.news_within;
+  const Time sent_before = state.now - state.options.propagation_limit;
   std::vector<RequestKey> lost;
   for (auto& [key, request] : state.requests) {
-    const auto& helpers = request.work.helpers;
-    for (std::size_t i = 0; i < request.memory.size(); ++i) {
+    const auto& helpers = request.active_request.helpers;
+    for (std::size_t i = 0; i < request.memory_reservations.size(); ++i) {
       // Renewed, it would be set aside anew at one who knows nothing of it.
-      if (helpers[i] == life) request.memory[i].ticket.clear();
+      if (helpers[i] == life)
+        request.memory_reservations[i].reservation_id.clear();
     }
     const bool helps =
         std::find(helpers.begin(), helpers.end(), life) != helpers.end();
@@ -248,8 +251,8 @@
     }
     // One that may not be repeated is left to its connection: taken for lost by
     // mistake it would be cut off at work, and nothing is won.
-    const bool again =
-        MayRunAgain(request.route.kind) && request.sign_at < sent_before;
+    const bool again = MayRunAgain(request.route.kind) &&
+                       request.backend_alive_at < sent_before;
     if (request.phase == Phase::kRunning && here && again) lost.push_back(key);
   }
   for (const RequestKey key : lost) {
@@ -258,7 +261,7 @@
       Requeue(state, request, Duration::zero());
       continue;
     }
-    ++request.arrivals;
+    ++request.delivered_sends;
     Lost(state, request, "started_again");
   }
 }
@@ -274,19 +277,19 @@
     const Duration slack = running ? kDeadlineSlack : Duration::zero();
     if (state.now >= request.deadline + slack) {
       request.may_have_run = request.may_have_run || running;
-      RefuseRequest(state, request, Refusal::kTimeLimit, kAfterRefusals);
+      RefuseRequest(state, request, Refusal::kTimeLimit, kRetryAfterDeclined);
       continue;
     }
     if (request.phase == Phase::kReserving &&
-        state.now >= request.progress_by) {
+        state.now >= request.progress_deadline) {
       Requeue(state, request, Duration::zero());
       continue;
     }
-    RenewMemory(state, request);
+    RenewReservations(state, request);
     if (running && MayRunAgain(request.route.kind) &&
-        state.now >= request.progress_by) {
-      ++request.arrivals;
-      NoteFailure(state, request.backend, "silent");
+        state.now >= request.progress_deadline) {
+      ++request.delivered_sends;
+      RecordFailure(state, request.backend, "silent");
       Lost(state, request, "silent");
     }
   }
--- a/serving/src/audience.cc
+++ b/serving/src/audience.cc
@@ -34,7 +34,7 @@
 constexpr std::size_t kLeastAddresses = 4;
 
 bool IsHereAndServes(const State& state, const Member& member) {
-  return member.snapshot.serving && IsHeard(state, member) &&
+  return member.snapshot.serving && IsLive(state, member) &&
          member.snapshot.data_centre == state.options.data_centre;
 }
 
@@ -52,7 +52,7 @@
 std::vector<std::string> RankedHubs(const State& state) {
   return StrongestOf(
       state, "placers", state.dispatch.is_hub, [&](const Member& it) {
-        return it.snapshot.is_hub && it.snapshot.serving && IsHeard(state, it);
+        return it.snapshot.is_hub && it.snapshot.serving && IsLive(state, it);
       });
 }
 
@@ -124,47 +124,48 @@
 }
 
 bool PlacesForOthers(const State& state) {
-  const Dispatching& dispatch = state.dispatch;
-  if (dispatch.all_place) return false;
+  const PlacementDuties& dispatch = state.dispatch;
+  if (dispatch.place_locally) return false;
   return IsPlacer(state, state.options.peer_address) ||
-         dispatch.stands_in_until > state.now;
+         dispatch.fallback_until > state.now;
 }
 
-bool PlacesItself(const State& state) {
-  return state.dispatch.all_place || PlacesForOthers(state);
+bool ReceivesAllActiveRequests(const State& state) {
+  return state.dispatch.place_locally || PlacesForOthers(state);
 }
 
-void CountDaemons(State& state) {
-  state.dispatch.all_place = LiveDaemons(state) <= kMostThatAllPlace;
-  state.slack.NoteDaemons(state.now, LiveDaemons(state));
+void UpdatePlacementMode(State& state) {
+  state.dispatch.place_locally = LiveDaemons(state) <= kMostThatAllPlace;
+  state.slack_share.RecordDaemonCount(state.now, LiveDaemons(state));
   const DaemonCount count = CountOf(state);
-  if (count == state.counted) return;
-  state.counted = count;
+  if (count == state.logged_daemon_count) return;
+  state.logged_daemon_count = count;
   Log(state, "daemons",
-      {{"heard", std::to_string(count.heard)},
+      {{"heard", std::to_string(count.live)},
        {"listed", std::to_string(count.listed)},
        {"entries", std::to_string(count.entries)}});
 }
 
-void TakeAudience(State& state) {
-  Dispatching& dispatch = state.dispatch;
-  CountDaemons(state);
+void UpdatePlacementDuties(State& state) {
+  PlacementDuties& dispatch = state.dispatch;
+  UpdatePlacementMode(state);
   const bool was_hub = dispatch.is_hub;
   // Who else is there is heard before this daemon takes a duty; who places is
   // of use at once.
   dispatch.is_hub =
-      state.store.has_role && !dispatch.all_place && TakeHub(state);
+      state.store.has_role && !dispatch.place_locally && TakeHub(state);
   const auto hubs =
-      dispatch.all_place ? std::vector<std::string>{} : RankedHubs(state);
+      dispatch.place_locally ? std::vector<std::string>{} : RankedHubs(state);
   auto placers = PlacersOf(state, hubs);
-  dispatch.stand_ins = StandInsOf(hubs, placers);
-  if (was_hub != dispatch.is_hub) state.changed = true;
-  if (state.told_header.places != PlacesForOthers(state)) state.changed = true;
+  dispatch.fallback_placers = StandInsOf(hubs, placers);
+  if (was_hub != dispatch.is_hub) state.has_unpublished_changes = true;
+  if (state.published_header.places != PlacesForOthers(state))
+    state.has_unpublished_changes = true;
   if (placers == dispatch.placers) return;
-  state.changed = true;
+  state.has_unpublished_changes = true;
   // A new placer does not know what was told to others.
   for (const std::string& it : placers) {
-    if (!IsPlacer(state, it)) state.whole_due[it] = state.now;
+    if (!IsPlacer(state, it)) state.full_snapshot_due[it] = state.now;
   }
   dispatch.placers = std::move(placers);
   const auto name = [&](std::size_t i) {
@@ -177,32 +178,32 @@
        {"daemons", std::to_string(LiveDaemons(state))}});
 }
 
-bool HearsAlive(const State& state, const std::string& peer) {
-  return state.dispatch.is_hub || HearsWorks(state, peer) ||
+bool ReceivesHeartbeats(const State& state, const std::string& peer) {
+  return state.dispatch.is_hub || ReceivesActiveRequests(state, peer) ||
          DataCentreOf(state, peer) == state.options.data_centre;
 }
 
-bool TellsUs(const State& state, const std::string& peer) {
-  if (PlacesItself(state)) return true;
+bool SendsUsHeartbeats(const State& state, const std::string& peer) {
+  if (ReceivesAllActiveRequests(state)) return true;
   const auto member = state.members.find(peer);
   const bool is_hub =
       member != state.members.end() && member->second.snapshot.is_hub;
   return is_hub || DataCentreOf(state, peer) == state.options.data_centre;
 }
 
-bool HearsWorks(const State& state, const std::string& peer) {
-  if (state.dispatch.all_place || IsPlacer(state, peer)) return true;
+bool ReceivesActiveRequests(const State& state, const std::string& peer) {
+  if (state.dispatch.place_locally || IsPlacer(state, peer)) return true;
   const auto member = state.members.find(peer);
   return member != state.members.end() && member->second.snapshot.places &&
-         IsHeard(state, member->second);
+         IsLive(state, member->second);
 }
 
 std::vector<std::string> AddressesFor(const State& state) {
   std::vector<std::string> here;
   std::vector<std::string> elsewhere;
   for (const auto& [address, member] : state.members) {
-    if (!IsHeard(state, member) || !member.snapshot.serving) continue;
-    const bool near = state.dispatch.all_place ||
+    if (!IsLive(state, member) || !member.snapshot.serving) continue;
+    const bool near = state.dispatch.place_locally ||
                       member.snapshot.data_centre == state.options.data_centre;
     (near ? here : elsewhere).push_back(member.snapshot.instance);
   }
--- a/serving/src/backends.cc
+++ b/serving/src/backends.cc
@@ -51,8 +51,8 @@
   const auto most = static_cast<double>(all) * kMostSuspects;
   if (!already && static_cast<double>(n + 1) > most) return;
   backend.*until = std::max(backend.*until, state.now + length);
-  state.changed = true;
-  state.effects.emplace_back(Count{Counter::kSuspicions});
+  state.has_unpublished_changes = true;
+  state.effects.emplace_back(IncrementCounter{Counter::kSuspicions});
   Log(state, "suspect",
       {{"backend", backend.server.id},
        {"address", backend.server.address},
@@ -66,8 +66,8 @@
       {{"backend", server.id},
        {"service", server.service},
        {"address", server.address},
-       {"born", std::to_string(server.born)},
-       {"era", std::to_string(server.revision.era)},
+       {"born", std::to_string(server.start_unix_ms)},
+       {"era", std::to_string(server.revision.epoch)},
        {"revision", std::to_string(server.revision.number)},
        {"state", what},
        {"why", why}},
@@ -80,12 +80,12 @@
 std::uint64_t HashOf(const BackendServer& it) {
   std::uint64_t hash = HashBytes(it.id, it.revision.number);
   for (const std::string* text :
-       {&it.service, &it.address, &it.data_centre, &it.fault}) {
+       {&it.service, &it.address, &it.data_centre, &it.entry_error}) {
     hash = HashBytes(*text, hash);
   }
   const auto slots = static_cast<std::uint64_t>(it.slots);
   const std::uint64_t leaving = it.leaving ? 1 : 0;
-  for (const std::uint64_t number : {slots, leaving, it.born}) {
+  for (const std::uint64_t number : {slots, leaving, it.start_unix_ms}) {
     hash = HashBytes(std::to_string(number), hash);
   }
   return hash;
@@ -93,8 +93,8 @@
 
 // It went, and a copy of the store may have brought its entry back.
 void KeepOut(State& state, Backend& backend) {
-  if (backend.gone_until) return;
-  backend.gone_until = CopyLapse(state);
+  if (backend.tombstone_until) return;
+  backend.tombstone_until = RestoredTombstoneEnd(state);
   LogBackend(state, backend.server, "kept_out", "listed by an older copy");
 }
 
@@ -108,7 +108,7 @@
     backend.id = IdOf(entry);
   }
   backend.server.revision = entry.revision;
-  backend.server.fault = fault;
+  backend.server.entry_error = fault;
   LogBackend(state, backend.server, "unusable", fault);
 }
 
@@ -116,37 +116,37 @@
 // neither a word of leaving, nor what was seen of it, nor what it had in work.
 void BeginLife(State& state, Backend& backend, const BackendServer& entry) {
   const BackendId before = backend.id;
-  const std::uint64_t born_before = backend.server.born;
+  const std::uint64_t born_before = backend.server.start_unix_ms;
   backend = {.server = entry, .id = IdOf(entry)};
   backend.server.leaving = entry.leaving || state.leaving.contains(backend.id);
-  state.changed = true;
+  state.has_unpublished_changes = true;
   LogBackend(state, entry, "started_again",
              "born before: " + std::to_string(born_before));
-  LoseWorkAt(state, before);
+  FailAttemptsAt(state, before);
 }
 
 // A newer entry of that id than the one that is known.
 void TakeEntry(State& state, Backend& backend, const BackendServer& entry) {
   const bool is_new = backend.server.id.empty();
-  if (!entry.fault.empty()) {
-    TakeFaulty(state, backend, entry, entry.fault);
+  if (!entry.entry_error.empty()) {
+    TakeFaulty(state, backend, entry, entry.entry_error);
     return;
   }
-  const std::uint64_t born = backend.server.born;
-  if (entry.born == 0 && born != 0) {
+  const std::uint64_t born = backend.server.start_unix_ms;
+  if (entry.start_unix_ms == 0 && born != 0) {
     TakeFaulty(state, backend, entry, "born: missing");
     return;
   }
-  if (!is_new && entry.born > born) {
+  if (!is_new && entry.start_unix_ms > born) {
     BeginLife(state, backend, entry);
     return;
   }
-  const bool was_usable = !is_new && backend.server.fault.empty();
+  const bool was_usable = !is_new && backend.server.entry_error.empty();
   const bool was_leaving = backend.server.leaving;
   // A write of the life before that came late: what the younger one said holds.
-  if (entry.born < born) {
+  if (entry.start_unix_ms < born) {
     backend.server.revision = entry.revision;
-    backend.server.fault.clear();
+    backend.server.entry_error.clear();
     LogBackend(state, backend.server, "kept", "entry of an earlier life");
     return;
   }
@@ -164,24 +164,24 @@
 
 }  // namespace
 
-void Suspect(State& state, Backend& backend, Duration length,
-             const std::string& why) {
+void SuspectBackend(State& state, Backend& backend, Duration length,
+                    const std::string& why) {
   Avoid(state, backend, &Backend::suspect_until, length, why);
-  Doubt(
+  ApplySuspicion(
       state,
       {.backend = backend.id, .until = backend.suspect_until, .failed = true});
 }
 
-void AvoidSlow(State& state, Backend& backend, Duration length) {
+void AvoidSlowBackend(State& state, Backend& backend, Duration length) {
   Avoid(state, backend, &Backend::slow_until, length, "slow");
 }
 
-void AvoidResting(State& state, Backend& backend, Duration length) {
+void ApplyBackoff(State& state, Backend& backend, Duration length) {
   Avoid(state, backend, &Backend::slow_until, length, "rest");
 }
 
 BackendId IdOf(const BackendServer& server) {
-  return HashBytes(server.id, server.born);
+  return HashBytes(server.id, server.start_unix_ms);
 }
 
 Backend* FindBackend(State& state, BackendId id) {
@@ -192,20 +192,20 @@
 }
 
 bool TakesWork(const Backend& backend) {
-  return backend.server.fault.empty() && !backend.server.leaving &&
-         !backend.gone_until;
+  return backend.server.entry_error.empty() && !backend.server.leaving &&
+         !backend.tombstone_until;
 }
 
 void OnListed(State& state, const BackendServer& server) {
-  if (IsGoneSince(state, server.id, server.revision)) return;
+  if (HasTombstoneSince(state, server.id, server.revision)) return;
   const bool of_copy =
-      !state.backends.contains(server.id) && IsOfCopy(state, server);
+      !state.backends.contains(server.id) && IsRestoredTombstone(state, server);
   Backend& backend = state.backends[server.id];
   if (server.revision < backend.server.revision) return;
   const std::uint64_t hash = HashOf(server);
   const bool changed = hash != backend.entry_hash;
   if (changed || backend.gone_at) {
-    NoteChange(
+    RecordChange(
         state,
         {.id = server.id, .revision = server.revision, .server = server});
   }
@@ -215,25 +215,25 @@
   TakeEntry(state, backend, server);
   backend.entry_hash = hash;
   // Written since it was kept out.
-  backend.gone_until.reset();
+  backend.tombstone_until.reset();
   if (of_copy) KeepOut(state, backend);
 }
 
 void OnUnlisted(State& state, const BackendUnlisted& event) {
   const auto it = state.backends.find(event.id);
   if (it == state.backends.end()) {
-    NoteGoneAt(state, event.id, event.revision);
+    RecordTombstone(state, event.id, event.revision);
     return;
   }
   // Told late: it has come back since.
   const bool told = event.revision.number != 0;
   if (told && event.revision < it->second.server.revision) return;
-  NoteGoneAt(state, event.id, event.revision);
+  RecordTombstone(state, event.id, event.revision);
   if (!it->second.gone_at) {
-    NoteChange(state, {.id = event.id,
-                       .revision = event.revision,
-                       .server = {},
-                       .certain = event.certain});
+    RecordChange(state, {.id = event.id,
+                         .revision = event.revision,
+                         .server = {},
+                         .certain = event.certain});
   }
   if (!event.certain) {
     if (!it->second.gone_at) it->second.gone_at = LapseEnd(state);
@@ -259,119 +259,129 @@
     OnUnlisted(state,
                {.id = it, .certain = certain, .revision = event.revision});
   }
-  NoteComplete(state, event.revision);
-  if (event.asked == Time{}) return;
-  OnBackendsConfirmed(state, {.era = event.revision.era, .asked = event.asked});
+  RecordCompleteUpTo(state, event.revision);
+  if (event.queried_at == Time{}) return;
+  OnBackendsConfirmed(
+      state, {.epoch = event.revision.epoch, .queried_at = event.queried_at});
 }
 
-void DropLapsed(State& state) {
+void DropLapsedBackends(State& state) {
   std::vector<std::string> gone;
   for (const auto& [name, backend] : state.backends) {
     if (backend.gone_at && *backend.gone_at <= state.now) gone.push_back(name);
   }
   for (const std::string& it : gone) OnUnlisted(state, {.id = it});
   for (auto& [name, backend] : state.backends) {
-    const bool over = backend.gone_until && *backend.gone_until <= state.now;
+    const bool over =
+        backend.tombstone_until && *backend.tombstone_until <= state.now;
     if (!over) continue;
-    backend.gone_until.reset();
+    backend.tombstone_until.reset();
     LogBackend(state, backend.server, "listed", "still listed");
   }
 }
 
-void NoteSuccess(State& state, BackendId id) {
+void RecordSuccess(State& state, BackendId id) {
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr) return;
-  backend->failures = 0;
-  backend->answers = backend->answers * (1 - kForgetting) + 1;
-  backend->bad_answers *= 1 - kForgetting;
+  backend->consecutive_failures = 0;
+  backend->recent_responses = backend->recent_responses * (1 - kForgetting) + 1;
+  backend->recent_failed_responses *= 1 - kForgetting;
 }
 
-void NoteFailure(State& state, BackendId id, const std::string& why) {
+void RecordFailure(State& state, BackendId id, const std::string& why) {
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr) return;
-  const int doublings = std::min(backend->failures++, kMostDoublings);
-  Suspect(state, *backend, kFirstSuspicion * (1 << doublings), why);
+  const int doublings =
+      std::min(backend->consecutive_failures++, kMostDoublings);
+  SuspectBackend(state, *backend, kFirstSuspicion * (1 << doublings), why);
 }
 
-void NoteBadAnswer(State& state, BackendId id) {
+void RecordFailedResponse(State& state, BackendId id) {
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr) return;
-  backend->answers = backend->answers * (1 - kForgetting) + 1;
-  backend->bad_answers = backend->bad_answers * (1 - kForgetting) + 1;
+  backend->recent_responses = backend->recent_responses * (1 - kForgetting) + 1;
+  backend->recent_failed_responses =
+      backend->recent_failed_responses * (1 - kForgetting) + 1;
   double answers = 0;
   double bad = 0;
   for (const auto& [name, it] : state.backends) {
     if (it.server.service != backend->server.service || it.id == id) continue;
-    answers += it.answers;
-    bad += it.bad_answers;
+    answers += it.recent_responses;
+    bad += it.recent_failed_responses;
   }
   const double usual = answers > 0 ? bad / answers : 0;
-  const double own = backend->bad_answers / backend->answers;
-  if (backend->answers >= kLeastAnswers && own > usual + kMoreBadAnswers) {
-    Suspect(state, *backend, kBadAnswersSuspicion, "bad_answers");
+  const double own =
+      backend->recent_failed_responses / backend->recent_responses;
+  if (backend->recent_responses >= kLeastAnswers &&
+      own > usual + kMoreBadAnswers) {
+    SuspectBackend(state, *backend, kBadAnswersSuspicion, "bad_answers");
   }
 }
 
-void NoteGone(State& state, BackendId id, const std::string& why) {
+void RecordBackendGone(State& state, BackendId id, const std::string& why) {
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr || backend->server.leaving) return;
   backend->server.leaving = true;
   LogBackend(state, backend->server, "leaving", why);
 }
 
-void Doubt(State& state, const Suspicion& suspicion) {
+void ApplySuspicion(State& state, const Suspicion& suspicion) {
   Backend* backend = FindBackend(state, suspicion.backend);
   const bool counts = backend != nullptr && suspicion.failed &&
                       suspicion.until > state.now &&
                       TimingOf(state, backend->server.service) != nullptr;
   if (!counts) return;
-  if (backend->doubted_until > state.now) {
-    backend->doubted_until = std::max(backend->doubted_until, suspicion.until);
+  if (backend->suspected_until > state.now) {
+    backend->suspected_until =
+        std::max(backend->suspected_until, suspicion.until);
     return;
   }
-  const bool in_row = backend->doubted_until != Time{} &&
-                      state.now - backend->doubted_until < kRowWithin;
-  backend->doubts = in_row ? backend->doubts + 1 : 0;
-  const int doublings = std::min(backend->doubts, kMostDoubtDoublings);
-  backend->doubted_until =
+  const bool in_row = backend->suspected_until != Time{} &&
+                      state.now - backend->suspected_until < kRowWithin;
+  backend->consecutive_suspicions =
+      in_row ? backend->consecutive_suspicions + 1 : 0;
+  const int doublings =
+      std::min(backend->consecutive_suspicions, kMostDoubtDoublings);
+  backend->suspected_until =
       std::max(suspicion.until, state.now + kFirstDoubt * (1 << doublings));
   Log(state, "doubted",
       {{"backend", backend->server.id},
-       {"times", std::to_string(backend->doubts + 1)},
-       {"for_ms", Millis(backend->doubted_until - state.now)}},
+       {"times", std::to_string(backend->consecutive_suspicions + 1)},
+       {"for_ms", Millis(backend->suspected_until - state.now)}},
       /*routine=*/true);
 }
 
 bool IsOnProbation(const State& state, const Backend& backend) {
-  return backend.doubted_until != Time{} &&
-         backend.doubted_until <= state.now &&
-         state.now < backend.doubted_until + kProbation;
+  return backend.suspected_until != Time{} &&
+         backend.suspected_until <= state.now &&
+         state.now < backend.suspected_until + kProbation;
 }
 
-void EndProbations(State& state, const std::vector<const Work*>& works) {
+void EndProbations(State& state,
+                   const std::vector<const ActiveRequest*>& works) {
   for (auto& entry : state.backends) {
     Backend& backend = entry.second;
     if (!IsOnProbation(state, backend)) continue;
     const bool works_again =
-        std::any_of(works.begin(), works.end(), [&](const Work* it) {
-          return it->backend == backend.id && it->writing &&
-                 it->started >= backend.doubted_until;
+        std::any_of(works.begin(), works.end(), [&](const ActiveRequest* it) {
+          return it->backend == backend.id && it->decoding &&
+                 it->started_at >= backend.suspected_until;
         });
     if (!works_again) continue;
-    backend.doubted_until = Time{};
-    backend.doubts = 0;
+    backend.suspected_until = Time{};
+    backend.consecutive_suspicions = 0;
   }
 }
 
-std::set<BackendId> Suspects(const State& state) {
+std::set<BackendId> SuspectedBackends(const State& state) {
   std::set<BackendId> suspects;
   for (const auto& [name, it] : state.backends) {
-    const Time until = std::max(it.avoided_until(), it.doubted_until);
+    const Time until = std::max(it.avoided_until(), it.suspected_until);
     if (until > state.now) suspects.insert(it.id);
   }
   for (const auto& [address, member] : state.members) {
     const auto& told = member.snapshot;
-    if (told.suspicions.empty() || !told.serving || !IsHeard(state, member)) {
+    if (told.suspicions.empty() || !told.serving || !IsLive(state, member)) {
       continue;
     }
     for (const Suspicion& it : told.suspicions) {
--- a/serving/src/deciding.cc
+++ b/serving/src/deciding.cc
@@ -15,80 +15,82 @@
 // after two in a row no part of a long one: most are suspected once, for an
 // answer that was cut, and engines that only read for long prompts have no
 // short one to show that they work.
-void KeepProbations(const State& state, const Demand& demand,
+void KeepProbations(const State& state, const PlacementDemand& demand,
                     const std::vector<const Backend*>& open,
                     std::vector<EngineView>& pool) {
   for (std::size_t i = 0; i < pool.size(); ++i) {
     if (!IsOnProbation(state, *open[i])) continue;
-    const bool has_one = pool[i].reading > 0;
-    const bool is_long = demand.read > kShortRead;
-    const bool barred = is_long ? open[i]->doubts > 0 : has_one;
-    if (barred) pool[i].suspect = true;
+    const bool has_one = pool[i].prefilling > 0;
+    const bool is_long = demand.prefill_time > kShortPromptPrefillLimit;
+    const bool barred = is_long ? open[i]->consecutive_suspicions > 0 : has_one;
+    if (barred) pool[i].suspected = true;
   }
 }
 
 // An engine that has what ended two is left to it.
-void KeepAway(const State& state, const Demand& demand,
-              const std::vector<const Work*>& works,
+void KeepAway(const State& state, const PlacementDemand& demand,
+              const std::vector<const ActiveRequest*>& works,
               std::set<BackendId>& suspects) {
   constexpr std::size_t kEndsToKeepFrom = 2;
   if (state.quarantine.empty()) return;
-  for (const Work* it : works) {
-    const bool keep = it->content != demand.content &&
-                      state.quarantine.EndsOf(it->content) >= kEndsToKeepFrom;
+  for (const ActiveRequest* it : works) {
+    const bool keep =
+        it->fingerprint != demand.fingerprint &&
+        state.quarantine.CrashCount(it->fingerprint) >= kEndsToKeepFrom;
     if (keep) suspects.insert(it->backend);
   }
 }
 
-Placing PlacePrompt(State& state, const Demand& demand,
-                    const EngineTiming& timing,
-                    const std::vector<const Backend*>& open) {
-  const auto works = AllWorks(state);
+PlacementResult PlacePrompt(State& state, const PlacementDemand& demand,
+                            const EngineTiming& timing,
+                            const std::vector<const Backend*>& open) {
+  const auto works = AllActiveRequests(state);
   EndProbations(state, works);
-  auto suspects = Suspects(state);
+  auto suspects = SuspectedBackends(state);
   KeepAway(state, demand, works, suspects);
   std::vector<EngineView> engines;
   engines.reserve(open.size());
   for (const Backend* it : open) {
     engines.push_back({.id = it->id,
-                       .suspect = suspects.contains(it->id) ||
-                                  demand.tried.contains(it->id)});
+                       .suspected = suspects.contains(it->id) ||
+                                    demand.excluded.contains(it->id)});
   }
   const bool all_suspect =
       std::all_of(engines.begin(), engines.end(),
-                  [](const EngineView& it) { return it.suspect; });
+                  [](const EngineView& it) { return it.suspected; });
   if (all_suspect) {
-    for (EngineView& it : engines) it.suspect = false;
+    for (EngineView& it : engines) it.suspected = false;
   }
-  auto pool = ViewPool(timing, std::move(engines), works, state.now);
+  auto pool = BuildPoolView(timing, std::move(engines), works, state.now);
   if (!all_suspect) KeepProbations(state, demand, open, pool);
   // One that does not hear what others have begins anywhere, or all that place
   // alone would fill the same engines.
-  if (!PlacesItself(state) && !pool.empty()) {
+  if (!ReceivesAllActiveRequests(state) && !pool.empty()) {
     const auto first =
         static_cast<std::ptrdiff_t>(state.random() % pool.size());
     std::rotate(pool.begin(), pool.begin() + first, pool.end());
   }
-  return Place(timing, pool,
-               {.prompt_tokens = demand.prompt_tokens,
-                .answer_tokens = demand.answer_tokens,
-                .draw = state.random(),
-                .until_due = demand.due - state.now,
-                .time_left = demand.deadline - state.now});
+  return PlacePrompt(timing, pool,
+                     {.prompt_tokens = demand.prompt_tokens,
+                      .answer_tokens = demand.answer_tokens,
+                      .tie_breaker = state.random(),
+                      .until_due = demand.due - state.now,
+                      .time_left = demand.deadline - state.now});
 }
 
-std::size_t WorksAt(const std::vector<const Work*>& works, BackendId id) {
-  return static_cast<std::size_t>(
-      std::count_if(works.begin(), works.end(),
-                    [&](const Work* it) { return it->backend == id; }));
+std::size_t WorksAt(const std::vector<const ActiveRequest*>& works,
+                    BackendId id) {
+  return static_cast<std::size_t>(std::count_if(
+      works.begin(), works.end(),
+      [&](const ActiveRequest* it) { return it->backend == id; }));
 }
 
 // The least busy backend server of a plain service; those in the data centre
 // of the daemon that sends first among equals.
-Verdict PlacePlain(State& state, const Demand& demand,
-                   const std::vector<const Backend*>& open) {
-  const auto works = AllWorks(state);
-  const auto suspects = Suspects(state);
+PlacementDecision PlacePlain(State& state, const PlacementDemand& demand,
+                             const std::vector<const Backend*>& open) {
+  const auto works = AllActiveRequests(state);
+  const auto suspects = SuspectedBackends(state);
   const Backend* best = nullptr;
   double least = 0;
   for (const Backend* it : open) {
@@ -99,7 +101,7 @@
     constexpr double kElsewhereCost = 0.05;
     constexpr double kTieBreak = 1e-4;
     if (suspects.contains(it->id)) cost += kAvoid;
-    if (demand.tried.contains(it->id)) cost += kAvoid / 2;
+    if (demand.excluded.contains(it->id)) cost += kAvoid / 2;
     if (it->server.data_centre != demand.data_centre) cost += kElsewhereCost;
     cost += kTieBreak * static_cast<double>(state.random() % 100);
     if (best == nullptr || cost < least) {
@@ -107,34 +109,35 @@
       least = cost;
     }
   }
-  if (best == nullptr) return NoRoomNow{Shortage::kBackends};
-  return Placed{.backend = best->id,
-                .first_token = demand.due - demand.arrived};
+  if (best == nullptr) return NoCapacityNow{Shortage::kBackends};
+  return Placement{.backend = best->id,
+                   .first_token = demand.due - demand.arrived};
 }
 
 // Those that don't want rest from the daemon that sends it.
-std::vector<const Backend*> AwakeOf(const Demand& demand,
+std::vector<const Backend*> AwakeOf(const PlacementDemand& demand,
                                     std::vector<const Backend*> open) {
-  std::erase_if(
-      open, [&](const Backend* it) { return demand.resting.contains(it->id); });
+  std::erase_if(open, [&](const Backend* it) {
+    return demand.backing_off.contains(it->id);
+  });
   return open;
 }
 
 // Where it goes, or that it waits, because of its content; nothing: wherever is
 // best. `timing`: nullptr for a plain service.
-std::optional<Verdict> PlaceByContent(State& state, const Demand& demand,
-                                      const EngineTiming* timing,
-                                      const std::vector<const Backend*>& open) {
+std::optional<PlacementDecision> PlaceByContent(
+    State& state, const PlacementDemand& demand, const EngineTiming* timing,
+    const std::vector<const Backend*>& open) {
   const bool plain = timing == nullptr;
   const std::int64_t tokens = demand.prompt_tokens + demand.answer_tokens;
-  if (!plain && tokens > MostMemory(*timing)) return std::nullopt;
-  const Companions with = CompanionsOf(state, demand, open);
-  if (with.wait) return NoRoomNow{Shortage::kVerdict};
+  if (!plain && tokens > UsableMemoryTokens(*timing)) return std::nullopt;
+  const Isolation with = FindIsolation(state, demand, open);
+  if (with.wait) return NoCapacityNow{Shortage::kCrashCheck};
   if (with.backend == nullptr) return std::nullopt;
-  NoteCompanions(state, demand, with);
-  return Placed{
+  RecordIsolation(state, demand, with);
+  return Placement{
       .backend = with.backend->id,
-      .first_token = plain ? demand.due - demand.arrived : demand.read};
+      .first_token = plain ? demand.due - demand.arrived : demand.prefill_time};
 }
 
 }  // namespace
@@ -145,53 +148,56 @@
   return found != nullptr && found->engine ? &*found->engine : nullptr;
 }
 
-Demand DemandOf(const State& state, const Request& request) {
-  return {.id = request.facts.id,
+PlacementDemand DemandOf(const State& state, const Request& request) {
+  return {.id = request.metadata.id,
           .service = request.service,
-          .prompt_tokens = request.facts.prompt_tokens,
-          .answer_tokens = request.facts.answer_tokens,
+          .prompt_tokens = request.metadata.prompt_tokens,
+          .answer_tokens = request.metadata.answer_tokens,
           .arrived = request.arrived,
           .due = request.due,
           .deadline = request.deadline,
-          .read = request.read,
-          .tried = request.tried,
-          .content = request.facts.content,
+          .prefill_time = request.prefill_time,
+          .excluded = request.excluded,
+          .fingerprint = request.metadata.fingerprint,
           .data_centre = state.options.data_centre,
-          .awaits_start = request.waits_for == Shortage::kLimit,
-          .resting = RestingServers(state)};
+          .awaits_rate_limit = request.waits_for == Shortage::kRateLimit,
+          .backing_off = ServersBackingOff(state)};
 }
 
 Refusal RefusalFor(Shortage of) {
   switch (of) {
-    case Shortage::kLimit:
-      return Refusal::kLimited;
-    case Shortage::kRest:
-      return Refusal::kResting;
+    case Shortage::kRateLimit:
+      return Refusal::kRateLimited;
+    case Shortage::kBackoff:
+      return Refusal::kBackendsBackingOff;
     default:
       return Refusal::kOverload;
   }
 }
 
-Verdict Decide(State& state, const Demand& demand) {
+PlacementDecision DecidePlacement(State& state, const PlacementDemand& demand) {
   const EngineTiming* timing = TimingOf(state, demand.service);
   const auto all = OpenBackends(state, demand.service);
-  if (all.empty()) return NoRoomNow{Shortage::kBackends};
+  if (all.empty()) return NoCapacityNow{Shortage::kBackends};
   const auto awake = AwakeOf(demand, all);
   if (awake.empty()) {
-    return GivenUp{.retry_after = kRestAgain, .of = Shortage::kRest};
+    return DeadlineUnreachable{.retry_after = kRestAgain,
+                               .shortage = Shortage::kBackoff};
   }
-  const auto open = Startable(state, demand, awake);
-  if (open.empty()) return AwaitStart(state, demand, awake);
+  const auto open = BackendsWithinRateLimit(state, demand, awake);
+  if (open.empty()) return WaitForRateLimit(state, demand, awake);
   if (const auto by_content = PlaceByContent(state, demand, timing, open)) {
     return *by_content;
   }
   if (timing == nullptr) return PlacePlain(state, demand, open);
-  if (demand.read > kShortRead) {
-    const Outlook outlook = OutlookOf(state, demand, *timing, open.size());
-    if (const auto given_up = GivesUp(state, demand, outlook)) return *given_up;
-    if (outlook.ahead > 0) return NoRoomNow{Shortage::kTurn};
+  if (demand.prefill_time > kShortPromptPrefillLimit) {
+    const QueueEstimate outlook =
+        EstimateQueue(state, demand, *timing, open.size());
+    if (const auto given_up = CheckDeadline(state, demand, outlook))
+      return *given_up;
+    if (outlook.ahead > 0) return NoCapacityNow{Shortage::kQueueOrder};
   }
-  return std::visit([](const auto& it) -> Verdict { return it; },
+  return std::visit([](const auto& it) -> PlacementDecision { return it; },
                     PlacePrompt(state, demand, *timing, open));
 }
 
--- a/serving/src/dispatch.cc
+++ b/serving/src/dispatch.cc
@@ -37,11 +37,11 @@
 // Placers that are not in doubt, then those that stand in for them, of which
 // this daemon may be one.
 std::string NextPlacer(const State& state) {
-  const Dispatching& dispatch = state.dispatch;
-  for (const auto* list : {&dispatch.placers, &dispatch.stand_ins}) {
+  const PlacementDuties& dispatch = state.dispatch;
+  for (const auto* list : {&dispatch.placers, &dispatch.fallback_placers}) {
     for (const std::string& it : *list) {
-      const auto doubted = dispatch.doubted_until.find(it);
-      const bool sound = doubted == dispatch.doubted_until.end() ||
+      const auto doubted = dispatch.placers_suspected_until.find(it);
+      const bool sound = doubted == dispatch.placers_suspected_until.end() ||
                          doubted->second <= state.now;
       if (sound) return it;
     }
@@ -51,38 +51,39 @@
 
 // A daemon that found no placer asks this one.
 void StandIn(State& state) {
-  Dispatching& dispatch = state.dispatch;
-  if (PlacesItself(state) || !dispatch.is_hub) return;
+  PlacementDuties& dispatch = state.dispatch;
+  if (ReceivesAllActiveRequests(state) || !dispatch.is_hub) return;
   Log(state, "stands_in",
       {{"placers", std::to_string(dispatch.placers.size())}});
-  dispatch.stands_in_until = state.now + kStandInFor;
+  dispatch.fallback_until = state.now + kStandInFor;
   // Those that don't tell it that they live are told with the next whole one.
-  for (auto& [peer, due] : state.whole_due) due = state.now;
-  state.changed = true;
+  for (auto& [peer, due] : state.full_snapshot_due) due = state.now;
+  state.has_unpublished_changes = true;
 }
 
-PlaceQuestion QuestionFor(const State& state, const Request& request) {
-  const auto resting = RestingServers(state);
-  return {.peer_address = state.options.peer_address,
-          .life = state.options.life,
-          .id = request.key,
-          .round = request.round,
-          .request = request.facts.id,
-          .service = request.service,
-          .prompt_tokens = request.facts.prompt_tokens,
-          .answer_tokens = request.facts.answer_tokens,
-          .arrived = request.arrived,
-          .due = request.due,
-          .deadline = request.deadline,
-          .longest_pause = request.route.longest_pause,
-          .tried = {request.tried.begin(), request.tried.end()},
-          .resting = {resting.begin(), resting.end()},
-          .content = request.facts.content,
-          .doubtful = IsDoubtful(state, request.facts.content)};
+PlacementRequest QuestionFor(const State& state, const Request& request) {
+  const auto resting = ServersBackingOff(state);
+  return {
+      .peer_address = state.options.peer_address,
+      .incarnation = state.options.incarnation,
+      .id = request.key,
+      .attempt_number = request.attempt_number,
+      .request = request.metadata.id,
+      .service = request.service,
+      .prompt_tokens = request.metadata.prompt_tokens,
+      .answer_tokens = request.metadata.answer_tokens,
+      .arrived = request.arrived,
+      .due = request.due,
+      .deadline = request.deadline,
+      .max_event_gap = request.route.max_event_gap,
+      .excluded = {request.excluded.begin(), request.excluded.end()},
+      .backing_off = {resting.begin(), resting.end()},
+      .fingerprint = request.metadata.fingerprint,
+      .crash_suspected = IsCrashSuspected(state, request.metadata.fingerprint)};
 }
 
-Demand DemandOf(const State& state, const AskedPlace& asked) {
-  const PlaceQuestion& it = asked.question;
+PlacementDemand DemandOf(const State& state, const RemotePlacement& asked) {
+  const PlacementRequest& it = asked.request;
   return {.id = it.request,
           .service = it.service,
           .prompt_tokens = it.prompt_tokens,
@@ -90,29 +91,30 @@
           .arrived = it.arrived,
           .due = it.due,
           .deadline = it.deadline,
-          .read = asked.read,
-          .tried = {it.tried.begin(), it.tried.end()},
-          .content = it.content,
-          .doubtful = it.doubtful,
+          .prefill_time = asked.prefill_time,
+          .excluded = {it.excluded.begin(), it.excluded.end()},
+          .fingerprint = it.fingerprint,
+          .crash_suspected = it.crash_suspected,
           .data_centre = DataCentreOf(state, it.peer_address),
-          .awaits_start = asked.waits_for == Shortage::kLimit,
-          .resting = {it.resting.begin(), it.resting.end()}};
+          .awaits_rate_limit = asked.waits_for == Shortage::kRateLimit,
+          .backing_off = {it.backing_off.begin(), it.backing_off.end()}};
 }
 
-void Reply(State& state, const AskedPlace& asked, PlaceOutcome outcome,
+void Reply(State& state, const RemotePlacement& asked, PlacementOutcome outcome,
            Duration retry_after = {}) {
-  const PlaceQuestion& question = asked.question;
-  PlaceAnswer answer{.peer_address = state.options.peer_address,
-                     .life = question.life,
-                     .id = question.id,
-                     .round = question.round,
-                     .outcome = outcome,
-                     .placed = asked.placed.value_or(Placed{}),
-                     .counted = asked.counted,
-                     .shortage = asked.waits_for.value_or(Shortage::kTurn),
-                     .retry_after = retry_after};
-  state.effects.emplace_back(
-      AnswerPlace{.to = question.peer_address, .answer = std::move(answer)});
+  const PlacementRequest& question = asked.request;
+  PlacementResponse answer{
+      .peer_address = state.options.peer_address,
+      .incarnation = question.incarnation,
+      .id = question.id,
+      .attempt_number = question.attempt_number,
+      .outcome = outcome,
+      .placement = asked.placement.value_or(Placement{}),
+      .rate_limits_counted = asked.rate_limits_counted,
+      .shortage = asked.waits_for.value_or(Shortage::kQueueOrder),
+      .retry_after = retry_after};
+  state.effects.emplace_back(RespondToPlacement{.to = question.peer_address,
+                                                .response = std::move(answer)});
 }
 
 std::string NameOf(State& state, BackendId id) {
@@ -120,23 +122,23 @@
   return backend == nullptr ? "" : backend->server.id;
 }
 
-void NotePlaced(State& state, AskedPlace& asked, const Placed& placed) {
-  const PlaceQuestion& question = asked.question;
-  asked.placed = placed;
-  asked.counted = KnownLimitsAt(state, placed);
-  NoteStart(state, placed);
+void NotePlaced(State& state, RemotePlacement& asked, const Placement& placed) {
+  const PlacementRequest& question = asked.request;
+  asked.placement = placed;
+  asked.rate_limits_counted = KnownRateLimitsAt(state, placed);
+  RecordStart(state, placed);
   asked.placed_at = state.now;
-  asked.work = {.id = question.id,
-                .backend = placed.backend,
-                .helpers = placed.helpers,
-                .prompt_tokens = question.prompt_tokens,
-                .answer_tokens = question.answer_tokens,
-                .started = state.now,
-                .writing = false,
-                .longest_pause = question.longest_pause,
-                .helper_tokens = placed.helper_tokens,
-                .content = question.content};
-  state.effects.emplace_back(Count{Counter::kPlacedForOthers});
+  asked.active_request = {.id = question.id,
+                          .backend = placed.backend,
+                          .helpers = placed.helpers,
+                          .prompt_tokens = question.prompt_tokens,
+                          .answer_tokens = question.answer_tokens,
+                          .started_at = state.now,
+                          .decoding = false,
+                          .max_event_gap = question.max_event_gap,
+                          .helper_tokens = placed.helper_tokens,
+                          .fingerprint = question.fingerprint};
+  state.effects.emplace_back(IncrementCounter{Counter::kPlacedForOthers});
   Log(state, "placed",
       {{"request", question.request},
        {"for", question.peer_address},
@@ -145,29 +147,31 @@
        {"prompt", std::to_string(question.prompt_tokens)},
        {"after_ms", Millis(state.now - question.arrived)},
        {"expected_ms", Millis(placed.first_token)},
-       {"asked", std::to_string(state.dispatch.asked.size())}},
+       {"asked", std::to_string(state.dispatch.remote_placements.size())}},
       /*routine=*/true);
 }
 
 // Whether it still waits for a place.
-bool Look(State& state, AskedPlace& asked) {
-  const Verdict verdict = Decide(state, DemandOf(state, asked));
-  return std::visit(Overloaded{[&](const Placed& it) {
+bool Look(State& state, RemotePlacement& asked) {
+  const PlacementDecision verdict =
+      DecidePlacement(state, DemandOf(state, asked));
+  return std::visit(Overloaded{[&](const Placement& it) {
                                  NotePlaced(state, asked, it);
-                                 Reply(state, asked, PlaceOutcome::kPlaced);
+                                 Reply(state, asked, PlacementOutcome::kPlaced);
                                  return false;
                                },
-                               [&](const NoRoomNow& it) {
-                                 asked.waits_for = it.of;
+                               [&](const NoCapacityNow& it) {
+                                 asked.waits_for = it.shortage;
                                  return true;
                                },
                                [&](const TooLarge&) {
-                                 Reply(state, asked, PlaceOutcome::kTooLarge);
+                                 Reply(state, asked,
+                                       PlacementOutcome::kTooLarge);
                                  return false;
                                },
-                               [&](const GivenUp& it) {
-                                 asked.waits_for = it.of;
-                                 Reply(state, asked, PlaceOutcome::kRefused,
+                               [&](const DeadlineUnreachable& it) {
+                                 asked.waits_for = it.shortage;
+                                 Reply(state, asked, PlacementOutcome::kRefused,
                                        it.retry_after);
                                  return false;
                                }},
@@ -179,120 +183,123 @@
 void AskAnew(State& state, Request& request,
              const std::vector<BackendId>& lives) {
   Log(state, "placer_unaware",
-      {{"request", request.facts.id},
+      {{"request", request.metadata.id},
        {"placer", request.placer},
        {"limits", std::to_string(lives.size())}});
-  TellLimitsAgain(state, lives);
-  ++request.round;
-  Wait(state, request, kLookAgain, Shortage::kLimit);
+  RepublishRateLimits(state, lives);
+  ++request.attempt_number;
+  QueueRequest(state, request, kLookAgain, Shortage::kRateLimit);
 }
 
 void ForgetAsked(State& state) {
-  std::erase_if(state.dispatch.asked, [&](const auto& it) {
-    const AskedPlace& asked = it.second;
-    return asked.placed ? state.now - asked.placed_at > kToldWithin
-                        : state.now - asked.renewed > kForgetAfter;
+  std::erase_if(state.dispatch.remote_placements, [&](const auto& it) {
+    const RemotePlacement& asked = it.second;
+    return asked.placement ? state.now - asked.placed_at > kToldWithin
+                           : state.now - asked.last_requested_at > kForgetAfter;
   });
 }
 
 }  // namespace
 
-void AskPlace(State& state, Request& request) {
-  Dispatching& dispatch = state.dispatch;
-  if (!request.placer.empty() && !request.placer_answered) {
-    dispatch.doubted_until[request.placer] = state.now + kDoubtFor;
-    state.effects.emplace_back(Count{Counter::kPlacersSilent});
+void RequestRemotePlacement(State& state, Request& request) {
+  PlacementDuties& dispatch = state.dispatch;
+  if (!request.placer.empty() && !request.placer_responded) {
+    dispatch.placers_suspected_until[request.placer] = state.now + kDoubtFor;
+    state.effects.emplace_back(IncrementCounter{Counter::kPlacersTimedOut});
     Log(state, "placer_silent",
-        {{"request", request.facts.id}, {"placer", request.placer}});
+        {{"request", request.metadata.id}, {"placer", request.placer}});
   }
   request.phase = Phase::kWaiting;
   request.placer = NextPlacer(state);
-  request.placer_answered = false;
+  request.placer_responded = false;
   if (request.placer == state.options.peer_address) {
     request.placer.clear();
     StandIn(state);
-    PlaceHere(state, request);
+    PlaceLocally(state, request);
     return;
   }
   if (request.placer.empty()) {
-    state.effects.emplace_back(Count{Counter::kPlacedAlone});
+    state.effects.emplace_back(IncrementCounter{Counter::kPlacedLocally});
     // Not at each look of one that waits for room.
     if (!request.waits_for) {
       Log(state, "places_alone",
-          {{"request", request.facts.id},
+          {{"request", request.metadata.id},
            {"placers", std::to_string(dispatch.placers.size())},
            {"waited_ms", Millis(state.now - request.arrived)}});
     }
-    PlaceHere(state, request);
+    PlaceLocally(state, request);
     return;
   }
   request.retry_at =
       state.now +
       (IsPlacer(state, request.placer) ? kAnswerWithin : kStandInWithin);
-  dispatch.answer_due = std::min(dispatch.answer_due.value_or(request.retry_at),
-                                 request.retry_at);
-  state.effects.emplace_back(Count{Counter::kPlacesAsked});
-  state.effects.emplace_back(
-      AskPlacer{.to = request.placer, .question = QuestionFor(state, request)});
+  dispatch.response_due = std::min(
+      dispatch.response_due.value_or(request.retry_at), request.retry_at);
+  state.effects.emplace_back(IncrementCounter{Counter::kPlacementsRequested});
+  state.effects.emplace_back(RequestPlacement{
+      .to = request.placer, .request = QuestionFor(state, request)});
 }
 
-void WithdrawPlace(State& state, const Request& request) {
+void WithdrawPlacement(State& state, const Request& request) {
   if (request.phase != Phase::kWaiting || request.placer.empty()) return;
-  PlaceQuestion question = QuestionFor(state, request);
-  question.over = true;
+  PlacementRequest question = QuestionFor(state, request);
+  question.withdrawn = true;
   state.effects.emplace_back(
-      AskPlacer{.to = request.placer, .question = std::move(question)});
+      RequestPlacement{.to = request.placer, .request = std::move(question)});
 }
 
-void OnPlaceAnswer(State& state, const PlaceAnswer& answer) {
-  state.dispatch.doubted_until.erase(answer.peer_address);
+void OnPlacementResponse(State& state, const PlacementResponse& answer) {
+  state.dispatch.placers_suspected_until.erase(answer.peer_address);
   const auto found = state.requests.find(answer.id);
-  if (answer.life != state.options.life || found == state.requests.end()) {
+  if (answer.incarnation != state.options.incarnation ||
+      found == state.requests.end()) {
     return;
   }
   Request& request = found->second;
   const bool expected = request.phase == Phase::kWaiting &&
-                        request.round == answer.round &&
+                        request.attempt_number == answer.attempt_number &&
                         !request.placer.empty();
   if (!expected) return;
-  request.placer_answered = true;
+  request.placer_responded = true;
   switch (answer.outcome) {
-    case PlaceOutcome::kPlaced:
-      if (const auto lives = UncountedAt(state, answer); !lives.empty()) {
+    case PlacementOutcome::kPlaced:
+      if (const auto lives = UncountedRateLimitsAt(state, answer);
+          !lives.empty()) {
         AskAnew(state, request, lives);
         return;
       }
-      Start(state, request, answer.placed);
+      StartPlacedAttempt(state, request, answer.placement);
       return;
-    case PlaceOutcome::kWaits:
-      Wait(state, request, kAskAgain, answer.shortage);
+    case PlacementOutcome::kQueued:
+      QueueRequest(state, request, kAskAgain, answer.shortage);
       return;
-    case PlaceOutcome::kRefused:
+    case PlacementOutcome::kRefused:
       request.placer.clear();
       RefuseRequest(state, request, RefusalFor(answer.shortage),
                     answer.retry_after);
       return;
-    case PlaceOutcome::kTooLarge:
+    case PlacementOutcome::kTooLarge:
       request.placer.clear();
       RefuseRequest(state, request, Refusal::kInvalid, {});
       return;
   }
 }
 
-void OnPlaceQuestion(State& state, const PlaceQuestion& question) {
-  auto& all = state.dispatch.asked;
+void OnPlacementRequest(State& state, const PlacementRequest& question) {
+  auto& all = state.dispatch.remote_placements;
   const AskedKey key{question.peer_address, question.id};
   const auto before = all.find(key);
-  const bool same = before != all.end() &&
-                    before->second.question.life == question.life &&
-                    before->second.question.round == question.round;
-  if (question.over) {
+  const bool same =
+      before != all.end() &&
+      before->second.request.incarnation == question.incarnation &&
+      before->second.request.attempt_number == question.attempt_number;
+  if (question.withdrawn) {
     if (same) all.erase(before);
     return;
   }
   // The answer may have been lost.
-  if (same && before->second.placed) {
-    Reply(state, before->second, PlaceOutcome::kPlaced);
+  if (same && before->second.placement) {
+    Reply(state, before->second, PlacementOutcome::kPlaced);
     return;
   }
   StandIn(state);
@@ -300,59 +307,59 @@
   const bool known = timing != nullptr || question.prompt_tokens == 0;
   // One that does not know what others have would place badly; another placer,
   // or the daemon itself, does better.
-  if (!known || !PlacesItself(state)) return;
-  AskedPlace& asked = all[key];
+  if (!known || !ReceivesAllActiveRequests(state)) return;
+  RemotePlacement& asked = all[key];
   const auto waits_for = asked.waits_for;
-  asked = {.question = question,
-           .read = timing == nullptr
-                       ? Duration::zero()
-                       : ReadTime(*timing, question.prompt_tokens),
-           .renewed = state.now,
-           .look_at = state.now + kLookAgain,
+  asked = {.request = question,
+           .prefill_time = timing == nullptr
+                               ? Duration::zero()
+                               : PrefillTime(*timing, question.prompt_tokens),
+           .last_requested_at = state.now,
+           .retry_at = state.now + kLookAgain,
            .waits_for = same ? waits_for : std::nullopt};
   if (Look(state, asked)) {
-    Reply(state, asked, PlaceOutcome::kWaits);
-  } else if (!asked.placed) {
+    Reply(state, asked, PlacementOutcome::kQueued);
+  } else if (!asked.placement) {
     all.erase(key);
   }
 }
 
-void LookAtAsked(State& state) {
-  auto& all = state.dispatch.asked;
+void RetryRemotePlacements(State& state) {
+  auto& all = state.dispatch.remote_placements;
   if (all.empty()) return;
   ForgetAsked(state);
   std::vector<std::pair<Time, AskedKey>> due;
   for (const auto& [key, it] : all) {
-    if (it.placed || it.look_at > state.now) continue;
-    due.emplace_back(TurnOf(state, it), key);
+    if (it.placement || it.retry_at > state.now) continue;
+    due.emplace_back(QueueKeyOf(state, it), key);
   }
   std::sort(due.begin(), due.end());
   // Behind one that found no room nobody does: those are looked at more rarely,
   // for their outlook.
   std::set<std::string> full;
   for (const auto& [turn, key] : due) {
-    AskedPlace& asked = all.at(key);
-    const std::string service = asked.question.service;
-    const bool in_line = asked.read > kShortRead;
+    RemotePlacement& asked = all.at(key);
+    const std::string service = asked.request.service;
+    const bool in_line = asked.prefill_time > kShortPromptPrefillLimit;
     const bool behind = in_line && full.contains(service);
-    asked.look_at = state.now + (behind ? kOutlookAgain : kLookAgain);
+    asked.retry_at = state.now + (behind ? kOutlookAgain : kLookAgain);
     if (Look(state, asked)) {
       if (in_line) full.insert(service);
-    } else if (!asked.placed) {
+    } else if (!asked.placement) {
       all.erase(key);
     }
   }
 }
 
-void ForgetTold(State& state, const LoadSnapshot& told) {
-  auto& all = state.dispatch.asked;
+void DropPublishedPlacements(State& state, const LoadSnapshot& told) {
+  auto& all = state.dispatch.remote_placements;
   if (all.empty()) return;
   const auto forget = [&](std::uint64_t id) {
     const auto it = all.find({told.peer_address, id});
-    if (it != all.end() && it->second.placed) all.erase(it);
+    if (it != all.end() && it->second.placement) all.erase(it);
   };
-  for (const Work& it : told.works) forget(it.id);
-  for (const std::uint64_t it : told.ended) forget(it);
+  for (const ActiveRequest& it : told.active_requests) forget(it.id);
+  for (const std::uint64_t it : told.finished_ids) forget(it);
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/endings.cc
+++ b/serving/src/endings.cc
@@ -23,31 +23,32 @@
 void LogEnding(State& state, std::uint64_t content, BackendId life,
                const std::string& from) {
   const Backend* backend = FindBackend(state, life);
-  const std::size_t n = state.quarantine.EndsOf(content);
+  const std::size_t n = state.quarantine.CrashCount(content);
   Log(state, "ended_under",
-      {{"content", ContentText(content)},
+      {{"content", FingerprintText(content)},
        {"backend", backend == nullptr ? "" : backend->server.id},
-       {"life", ContentText(life)},
+       {"life", FingerprintText(life)},
        {"told_by", from},
        {"ends", std::to_string(n)},
-       {"held", state.quarantine.Holds(content) ? "true" : "false"}});
+       {"held", state.quarantine.IsQuarantined(content) ? "true" : "false"}});
 }
 
-void TakeEnding(State& state, const Ending& ending, const std::string& from) {
-  if (!state.quarantine.Take(ending, state.now)) return;
-  state.changed = true;
+void TakeEnding(State& state, const Crash& ending, const std::string& from) {
+  if (!state.quarantine.AddCrash(ending, state.now)) return;
+  state.has_unpublished_changes = true;
   // Of many daemons the others hear it of the hubs.
-  state.endings_news = state.endings_news || from.empty() ||
-                       (state.dispatch.is_hub && !state.dispatch.all_place);
-  if (ending.forgiven) {
+  state.has_unpublished_crashes =
+      state.has_unpublished_crashes || from.empty() ||
+      (state.dispatch.is_hub && !state.dispatch.place_locally);
+  if (ending.cleared) {
     Log(state, "forgiven",
-        {{"content", ContentText(ending.content)},
-         {"life", ContentText(ending.life)},
+        {{"content", FingerprintText(ending.fingerprint)},
+         {"life", FingerprintText(ending.incarnation)},
          {"told_by", from}});
     return;
   }
-  state.effects.emplace_back(Count{Counter::kEndings});
-  LogEnding(state, ending.content, ending.life, from);
+  state.effects.emplace_back(IncrementCounter{Counter::kCrashes});
+  LogEnding(state, ending.fingerprint, ending.incarnation, from);
 }
 
 // What is known of a backend server for a request that has to go alone, or to
@@ -60,22 +61,23 @@
   bool avoided = false;
 };
 
-std::vector<Candidate> CandidatesFor(const State& state, const Demand& demand,
-                                     const std::vector<const Backend*>& open,
-                                     const std::vector<const Work*>& works) {
-  const auto suspects = Suspects(state);
+std::vector<Candidate> CandidatesFor(
+    const State& state, const PlacementDemand& demand,
+    const std::vector<const Backend*>& open,
+    const std::vector<const ActiveRequest*>& works) {
+  const auto suspects = SuspectedBackends(state);
   std::map<BackendId, Candidate> by_id;
   for (const Backend* it : open) {
-    by_id[it->id] = {
-        .backend = it,
-        .rank = HashBytes(it->server.id, demand.content),
-        .avoided = suspects.contains(it->id) || demand.tried.contains(it->id)};
+    by_id[it->id] = {.backend = it,
+                     .rank = HashBytes(it->server.id, demand.fingerprint),
+                     .avoided = suspects.contains(it->id) ||
+                                demand.excluded.contains(it->id)};
   }
-  for (const Work* work : works) {
+  for (const ActiveRequest* work : works) {
     const auto it = by_id.find(work->backend);
     if (it == by_id.end()) continue;
     ++it->second.works;
-    if (work->content == demand.content) ++it->second.alike;
+    if (work->fingerprint == demand.fingerprint) ++it->second.alike;
   }
   std::vector<Candidate> all;
   all.reserve(by_id.size());
@@ -94,8 +96,8 @@
   return std::any_of(
       state.members.begin(), state.members.end(), [&](const auto& it) {
         const Member& member = it.second;
-        const auto& asked = member.snapshot.asked;
-        return state.now < member.heard + kVerdictWithin &&
+        const auto& asked = member.snapshot.crash_checks;
+        return state.now < member.received_at + kVerdictWithin &&
                std::find(asked.begin(), asked.end(), content) != asked.end();
       });
 }
@@ -104,10 +106,10 @@
 // ended under them.
 std::size_t AskedHere(const State& state, std::uint64_t content) {
   std::set<AttemptId> attempts;
-  for (const auto& [life, check] : state.life_checks) {
-    const auto it = check.contents.find(content);
-    const bool asks =
-        it != check.contents.end() && state.now < check.since + kVerdictWithin;
+  for (const auto& [life, check] : state.liveness_checks) {
+    const auto it = check.attempts_by_fingerprint.find(content);
+    const bool asks = it != check.attempts_by_fingerprint.end() &&
+                      state.now < check.since + kVerdictWithin;
     if (asks) attempts.insert(it->second);
   }
   return attempts.size();
@@ -115,67 +117,69 @@
 
 }  // namespace
 
-void NoteEnding(State& state, std::uint64_t content, BackendId life) {
+void RecordCrash(State& state, std::uint64_t content, BackendId life) {
   if (content == 0) return;
-  TakeEnding(state, {.content = content, .life = life}, "");
+  TakeEnding(state, {.fingerprint = content, .incarnation = life}, "");
 }
 
-void Acquit(State& state, const Request& request) {
-  const std::uint64_t content = request.facts.content;
-  for (auto& [life, check] : state.life_checks) check.contents.erase(content);
-  if (state.quarantine.EndsOf(content) == 0) return;
-  state.quarantine.Forgive(content, state.now);
-  state.changed = true;
-  state.endings_news = true;
+void ClearAfterSuccess(State& state, const Request& request) {
+  const std::uint64_t content = request.metadata.fingerprint;
+  for (auto& [life, check] : state.liveness_checks)
+    check.attempts_by_fingerprint.erase(content);
+  if (state.quarantine.CrashCount(content) == 0) return;
+  state.quarantine.ClearFingerprint(content, state.now);
+  state.has_unpublished_changes = true;
+  state.has_unpublished_crashes = true;
   Log(state, "acquitted",
-      {{"request", request.facts.id},
-       {"content", ContentText(content)},
+      {{"request", request.metadata.id},
+       {"content", FingerprintText(content)},
        {"backend", request.backend_name}});
 }
 
-void TakeEndings(State& state, const std::vector<Ending>& endings) {
-  for (const Ending& it : endings) {
+void ApplyCrashes(State& state, const std::vector<Crash>& endings) {
+  for (const Crash& it : endings) {
     TakeEnding(state, it, "peer");
-    if (!it.forgiven) EndLife(state, it.life);
+    if (!it.cleared) EndIncarnation(state, it.incarnation);
   }
 }
 
-bool RefusedForEndings(State& state, Request& request) {
-  if (!state.quarantine.Holds(request.facts.content)) return false;
-  state.effects.emplace_back(Count{Counter::kQuarantined});
+bool RefuseIfQuarantined(State& state, Request& request) {
+  if (!state.quarantine.IsQuarantined(request.metadata.fingerprint))
+    return false;
+  state.effects.emplace_back(IncrementCounter{Counter::kQuarantined});
   RefuseRequest(state, request, Refusal::kQuarantined, {});
   return true;
 }
 
-bool AwaitsVerdict(const State& state, std::uint64_t content) {
+bool AwaitsCrashCheck(const State& state, std::uint64_t content) {
   if (content == 0) return false;
   const std::size_t asked =
       AskedHere(state, content) + (IsAskedElsewhere(state, content) ? 1 : 0);
   constexpr std::size_t kSentOn = 1;
-  return asked > 0 && state.quarantine.EndsOf(content) + asked > kSentOn;
+  return asked > 0 && state.quarantine.CrashCount(content) + asked > kSentOn;
 }
 
-bool AwaitsSign(const State& state, std::uint64_t content) {
+bool AwaitsLivenessSignal(const State& state, std::uint64_t content) {
   if (content == 0) return false;
-  return std::any_of(state.life_checks.begin(), state.life_checks.end(),
+  return std::any_of(state.liveness_checks.begin(), state.liveness_checks.end(),
                      [&](const auto& it) {
-                       const LifeCheck& check = it.second;
+                       const LivenessCheck& check = it.second;
                        return state.now < check.since + kSignWithin &&
-                              check.contents.contains(content);
+                              check.attempts_by_fingerprint.contains(content);
                      });
 }
 
-bool IsDoubtful(const State& state, std::uint64_t content) {
+bool IsCrashSuspected(const State& state, std::uint64_t content) {
   if (content == 0) return false;
-  return state.quarantine.EndsOf(content) > 0 ||
+  return state.quarantine.CrashCount(content) > 0 ||
          AskedHere(state, content) > 0 || IsAskedElsewhere(state, content);
 }
 
-std::vector<std::uint64_t> AskedContents(const State& state) {
+std::vector<std::uint64_t> FingerprintsUnderCheck(const State& state) {
   std::set<std::uint64_t> contents;
-  for (const auto& [life, check] : state.life_checks) {
+  for (const auto& [life, check] : state.liveness_checks) {
     if (state.now >= check.since + kVerdictWithin) continue;
-    for (const auto& [content, attempt] : check.contents) {
+    for (const auto& [content, attempt] : check.attempts_by_fingerprint) {
       contents.insert(content);
     }
   }
@@ -190,19 +194,21 @@
 //     a server with nothing else where there is one; a long one keeps its turn
 //     and its helpers, one copy at a time.
 //   - more: it goes alone, whatever that costs it.
-Companions CompanionsOf(const State& state, const Demand& demand,
+Isolation FindIsolation(const State& state, const PlacementDemand& demand,
                         const std::vector<const Backend*>& open) {
-  if (demand.content == 0) return {};
-  const std::size_t ends = state.quarantine.EndsOf(demand.content);
-  const bool asked = demand.doubtful || IsDoubtful(state, demand.content);
-  const bool is_long = demand.read > kShortRead;
-  const bool plain = demand.read == Duration::zero();
+  if (demand.fingerprint == 0) return {};
+  const std::size_t ends = state.quarantine.CrashCount(demand.fingerprint);
+  const bool asked =
+      demand.crash_suspected || IsCrashSuspected(state, demand.fingerprint);
+  const bool is_long = demand.prefill_time > kShortPromptPrefillLimit;
+  const bool plain = demand.prefill_time == Duration::zero();
   // Two long ones at one engine would be late for nothing.
   if (!asked && (is_long || plain)) return {};
-  const auto works = AllWorks(state);
-  const bool any_alike = std::any_of(
-      works.begin(), works.end(),
-      [&](const Work* it) { return it->content == demand.content; });
+  const auto works = AllActiveRequests(state);
+  const bool any_alike =
+      std::any_of(works.begin(), works.end(), [&](const ActiveRequest* it) {
+        return it->fingerprint == demand.fingerprint;
+      });
   constexpr std::size_t kProbable = 2;
   const bool one_at_a_time = is_long && ends < kProbable;
   if (one_at_a_time) return {.wait = any_alike};
@@ -210,7 +216,8 @@
   std::erase_if(all, [](const Candidate& it) { return !HasPlace(it); });
   const auto like = std::find_if(
       all.begin(), all.end(), [](const Candidate& it) { return it.alike > 0; });
-  if (like != all.end()) return {.backend = like->backend, .doubted = asked};
+  if (like != all.end())
+    return {.backend = like->backend, .crash_suspected = asked};
   if (!asked) return {};
   if (any_alike) return {.wait = true};
   const auto best = std::min_element(
@@ -218,17 +225,18 @@
         return std::pair(a.works, a.rank) < std::pair(b.works, b.rank);
       });
   if (best == all.end()) return {};
-  return {.backend = best->backend, .doubted = true};
+  return {.backend = best->backend, .crash_suspected = true};
 }
 
-void NoteCompanions(State& state, const Demand& demand,
-                    const Companions& with) {
-  if (!with.doubted) return;
-  state.effects.emplace_back(Count{Counter::kInDoubt});
+void RecordIsolation(State& state, const PlacementDemand& demand,
+                     const Isolation& with) {
+  if (!with.crash_suspected) return;
+  state.effects.emplace_back(IncrementCounter{Counter::kCrashSuspected});
   Log(state, "in_doubt",
       {{"request", demand.id},
-       {"content", ContentText(demand.content)},
-       {"ends", std::to_string(state.quarantine.EndsOf(demand.content))},
+       {"content", FingerprintText(demand.fingerprint)},
+       {"ends",
+        std::to_string(state.quarantine.CrashCount(demand.fingerprint))},
        {"backend", with.backend->server.id},
        {"prompt", std::to_string(demand.prompt_tokens)},
        {"after_ms", Millis(state.now - demand.arrived)}});
--- a/serving/src/internal/durations.h
+++ b/serving/src/internal/durations.h
@@ -9,14 +9,14 @@
   return Duration(static_cast<Duration::rep>(ms * 1000));
 }
 
-inline Duration PartOf(Duration whole, double part) {
+inline Duration FractionOf(Duration whole, double part) {
   return Duration(
       static_cast<Duration::rep>(static_cast<double>(whole.count()) * part));
 }
 
 // Until a client comes back whose request backend servers declined or may not
 // get again: some answers end within it.
-inline constexpr Duration kAfterRefusals = milliseconds(150);
+inline constexpr Duration kRetryAfterDeclined = milliseconds(150);
 
 }  // namespace scaleshed::serving::internal
 
--- a/serving/src/internal/pool.h
+++ b/serving/src/internal/pool.h
@@ -11,20 +11,20 @@
 namespace scaleshed::serving::internal {
 
 // Engines that stay open to long prompts under any number of short ones.
-inline constexpr std::size_t kLeastLongEngines = 4;
+inline constexpr std::size_t kMinLongPromptEngines = 4;
 
 // Helpers that one request may name, as the engines' protocol says.
-inline constexpr std::size_t kMostHelpers = 16;
+inline constexpr std::size_t kMaxHelpersPerRequest = 16;
 
 // Requests that an engine gets before the next one in the order is used.
-std::int64_t FillLimit(const EngineTiming& timing);
+std::int64_t RequestsBeforeNextEngine(const EngineTiming& timing);
 // Tokens of an engine's memory that are handed out.
-std::int64_t MostMemory(const EngineTiming& timing);
+std::int64_t UsableMemoryTokens(const EngineTiming& timing);
 
 // long_placement.cc
-Placing PlaceLong(const EngineTiming& timing,
-                  const std::vector<EngineView>& pool,
-                  const PlacementQuery& query);
+PlacementResult PlaceLongPrompt(const EngineTiming& timing,
+                                const std::vector<EngineView>& pool,
+                                const PlacementQuery& query);
 
 }  // namespace scaleshed::serving::internal
 
--- a/serving/src/long_placement.cc
+++ b/serving/src/long_placement.cc
@@ -36,10 +36,12 @@
                          const std::vector<EngineView>& pool) {
   std::int64_t running = 0;
   for (const EngineView& it : pool) running += it.short_running;
-  const auto limit = std::max<std::int64_t>(FillLimit(timing), 1);
+  const auto limit =
+      std::max<std::int64_t>(RequestsBeforeNextEngine(timing), 1);
   const auto wanted = static_cast<std::size_t>((running + limit / 2) / limit);
-  const std::size_t most =
-      pool.size() > kLeastLongEngines ? pool.size() - kLeastLongEngines : 0;
+  const std::size_t most = pool.size() > kMinLongPromptEngines
+                               ? pool.size() - kMinLongPromptEngines
+                               : 0;
   return std::min(std::max(wanted + 1, kLeastShortEngines), most);
 }
 
@@ -49,10 +51,13 @@
 bool KeepsPauses(const EngineTiming& timing, const EngineView& engine,
                  Duration part) {
   if (engine.running == 0) return true;
-  const Duration pass = PassTime(timing, engine.running, engine.context_tokens);
-  const Duration before = engine.backlog + pass;
-  if (engine.short_running == 0) return before + part <= engine.least_pause;
-  return before + part <= PartOf(engine.least_pause, kPauseBesideShort);
+  const Duration pass =
+      DecodeStepTime(timing, engine.running, engine.context_tokens);
+  const Duration before = engine.prefill_backlog + pass;
+  if (engine.short_running == 0)
+    return before + part <= engine.min_event_gap_limit;
+  return before + part <=
+         FractionOf(engine.min_event_gap_limit, kPauseBesideShort);
 }
 
 // The engines that a long prompt may use at some time soon: those that short
@@ -64,15 +69,16 @@
   for (std::size_t i = 0; i < pool.size(); ++i) {
     const bool free_of_short = i >= kept && pool[i].short_running == 0;
     const bool may_help =
-        pool[i].running < timing.slots && pool[i].helping < timing.slots;
-    if (free_of_short && may_help && !pool[i].suspect) open.push_back(&pool[i]);
+        pool[i].running < timing.slots && pool[i].helper_parts < timing.slots;
+    if (free_of_short && may_help && !pool[i].suspected)
+      open.push_back(&pool[i]);
   }
   if (open.empty()) {
     // Short prompts are everywhere: the last engines have the fewest.
     for (auto it = pool.rbegin();
-         it != pool.rend() && open.size() < kLeastLongEngines; ++it) {
+         it != pool.rend() && open.size() < kMinLongPromptEngines; ++it) {
       const bool room = it->running < timing.slots;
-      if (room && !it->suspect) open.push_back(&*it);
+      if (room && !it->suspected) open.push_back(&*it);
     }
   }
   return open;
@@ -85,7 +91,7 @@
   std::vector<const EngineView*> beside;
   for (const EngineView& it : pool) {
     const bool known = std::find(open.begin(), open.end(), &it) != open.end();
-    if (known || it.suspect || it.helping >= timing.slots) continue;
+    if (known || it.suspected || it.helper_parts >= timing.slots) continue;
     // One without any is kept for those that come.
     if (it.short_running == 0) continue;
     if (KeepsPauses(timing, it, kSmallestPart)) beside.push_back(&it);
@@ -100,7 +106,8 @@
                  const std::vector<const EngineView*>& helpers,
                  std::vector<std::int64_t>& tokens) {
   const auto free = [&](const EngineView& it) {
-    return std::max<std::int64_t>(MostMemory(timing) - it.memory_used, 0);
+    return std::max<std::int64_t>(UsableMemoryTokens(timing) - it.memory_used,
+                                  0);
   };
   std::int64_t rest = needed - free(first);
   if (rest <= 0) return true;
@@ -117,7 +124,8 @@
 
 // Can't keep its objective, however many engines read it.
 bool IsLate(Duration read, const PlacementQuery& query) {
-  return read / static_cast<Duration::rep>(kMostHelpers + 1) > query.until_due;
+  return read / static_cast<Duration::rep>(kMaxHelpersPerRequest + 1) >
+         query.until_due;
 }
 
 // Enough to be read within half of the time that is left.
@@ -138,8 +146,8 @@
   if (IsLate(read, query)) {
     parts = std::min(parts, EnginesInTime(read, query.time_left));
   }
-  return std::max<std::size_t>(std::min({open.size(), parts, kMostHelpers + 1}),
-                               1);
+  return std::max<std::size_t>(
+      std::min({open.size(), parts, kMaxHelpersPerRequest + 1}), 1);
 }
 
 // The engine that reads the first part and writes the answer. One that has
@@ -152,11 +160,11 @@
   const std::int64_t needed = query.prompt_tokens + query.answer_tokens;
   const EngineView* best = nullptr;
   for (const EngineView* it : able) {
-    if (it->running >= FillLimit(timing)) continue;
-    if (it->memory_used + needed > MostMemory(timing)) continue;
+    if (it->running >= RequestsBeforeNextEngine(timing)) continue;
+    if (it->memory_used + needed > UsableMemoryTokens(timing)) continue;
     if (best == nullptr || it->memory_used > best->memory_used) best = it;
   }
-  if (best != nullptr || needed <= MostMemory(timing)) return best;
+  if (best != nullptr || needed <= UsableMemoryTokens(timing)) return best;
   for (const EngineView* it : able) {
     if (best == nullptr || it->memory_used < best->memory_used) best = it;
   }
@@ -179,7 +187,7 @@
 
 bool MayTakePart(const EngineTiming& timing, const EngineView& engine,
                  Duration part, bool is_late) {
-  const bool idle = engine.running == 0 && engine.helping == 0;
+  const bool idle = engine.running == 0 && engine.helper_parts == 0;
   if (is_late && part > kLongPart && !idle) return false;
   return KeepsPauses(timing, engine, part);
 }
@@ -188,7 +196,7 @@
 // that size. Nothing of `writer` where there are too few, or no memory.
 Gang PickGang(const EngineTiming& timing, const PlacementQuery& query,
               const std::vector<const EngineView*>& ready, std::size_t size) {
-  const Duration read = ReadTime(timing, query.prompt_tokens);
+  const Duration read = PrefillTime(timing, query.prompt_tokens);
   const Duration part = read / static_cast<Duration::rep>(size);
   const bool is_late = IsLate(read, query);
   std::vector<const EngineView*> able;
@@ -201,7 +209,7 @@
   gang.writer = PickWriter(timing, able, query);
   if (gang.writer == nullptr) return gang;
   for (const EngineView* it : able) {
-    if (it != gang.writer && it->reading == 0) gang.helpers.push_back(it);
+    if (it != gang.writer && it->prefilling == 0) gang.helpers.push_back(it);
   }
   if (gang.helpers.size() + 1 < size) return Gang{};
   // Those without requests of their own first, then those with the most memory.
@@ -227,8 +235,9 @@
     if (gang.writer != nullptr) return gang;
   }
   const auto parts = static_cast<std::size_t>(
-      ReadTime(timing, query.prompt_tokens) / kSmallestPart);
-  const std::size_t most = std::min({parts, ready.size(), kMostHelpers + 1});
+      PrefillTime(timing, query.prompt_tokens) / kSmallestPart);
+  const std::size_t most =
+      std::min({parts, ready.size(), kMaxHelpersPerRequest + 1});
   for (std::size_t n = wanted + 1; n <= most; ++n) {
     Gang gang = PickGang(timing, query, ready, n);
     if (gang.writer != nullptr) return gang;
@@ -242,49 +251,50 @@
                     const std::vector<const EngineView*>& open) {
   const std::int64_t needed = query.prompt_tokens + query.answer_tokens;
   const bool memory =
-      needed > MostMemory(timing) ||
+      needed > UsableMemoryTokens(timing) ||
       std::any_of(open.begin(), open.end(), [&](const EngineView* it) {
-        return it->memory_used + needed <= MostMemory(timing);
+        return it->memory_used + needed <= UsableMemoryTokens(timing);
       });
   return memory ? Shortage::kEngines : Shortage::kMemory;
 }
 
 }  // namespace
 
-Placing PlaceLong(const EngineTiming& timing,
-                  const std::vector<EngineView>& pool,
-                  const PlacementQuery& query) {
+PlacementResult PlaceLongPrompt(const EngineTiming& timing,
+                                const std::vector<EngineView>& pool,
+                                const PlacementQuery& query) {
   const std::int64_t needed = query.prompt_tokens + query.answer_tokens;
-  const auto most_engines =
-      static_cast<std::int64_t>(std::min(pool.size(), kMostHelpers + 1));
-  if (needed > most_engines * MostMemory(timing)) return TooLarge{};
+  const auto most_engines = static_cast<std::int64_t>(
+      std::min(pool.size(), kMaxHelpersPerRequest + 1));
+  if (needed > most_engines * UsableMemoryTokens(timing)) return TooLarge{};
   const auto open = LongEngines(timing, pool);
-  const Duration read = ReadTime(timing, query.prompt_tokens);
+  const Duration read = PrefillTime(timing, query.prompt_tokens);
   const std::size_t wanted = WantedEngines(open, read, query);
   std::vector<const EngineView*> ready = BesideShort(timing, pool, open);
   ready.insert(ready.begin(), open.begin(), open.end());
   std::erase_if(ready, [](const EngineView* it) {
-    return it->backlog > kMostLongBacklog;
+    return it->prefill_backlog > kMostLongBacklog;
   });
   const Gang gang = FindGang(timing, query, ready, wanted);
-  if (gang.writer == nullptr) return NoRoomNow{ShortageOf(timing, query, open)};
-  Placed placed{.backend = gang.writer->id,
-                .helpers = {},
-                .helper_tokens = {},
-                .first_token = {}};
-  Duration backlog = gang.writer->backlog;
+  if (gang.writer == nullptr)
+    return NoCapacityNow{ShortageOf(timing, query, open)};
+  Placement placed{.backend = gang.writer->id,
+                   .helpers = {},
+                   .helper_tokens = {},
+                   .first_token = {}};
+  Duration backlog = gang.writer->prefill_backlog;
   for (const EngineView* it : gang.helpers) {
     placed.helpers.push_back(it->id);
-    backlog = std::max(backlog, it->backlog);
+    backlog = std::max(backlog, it->prefill_backlog);
   }
   if (!ShareMemory(timing, needed, *gang.writer, gang.helpers,
                    placed.helper_tokens)) {
-    return NoRoomNow{Shortage::kTickets};
+    return NoCapacityNow{Shortage::kCombinedMemory};
   }
   placed.first_token =
       backlog + read / static_cast<Duration::rep>(gang.helpers.size() + 1) +
-      2 * PassTime(timing, gang.writer->running,
-                   needed + gang.writer->context_tokens);
+      2 * DecodeStepTime(timing, gang.writer->running,
+                         needed + gang.writer->context_tokens);
   return placed;
 }
 
--- a/serving/src/members.cc
+++ b/serving/src/members.cc
@@ -17,36 +17,38 @@
 
 }  // namespace
 
-bool IsHeard(const State& state, const Member& member) {
-  return state.now - member.heard < kSilence;
+bool IsLive(const State& state, const Member& member) {
+  return state.now - member.received_at < kSilence;
 }
 
 DaemonCount CountOf(const State& state) {
-  DaemonCount count{.heard = 1,
+  DaemonCount count{.live = 1,
                     .listed = state.listed_peers.size(),
-                    .entries = state.store.entries};
+                    .entries = state.store.daemon_entries};
   for (const auto& [address, member] : state.members) {
-    if (IsHeard(state, member)) ++count.heard;
+    if (IsLive(state, member)) ++count.live;
   }
   return count;
 }
 
 std::size_t LiveDaemons(const State& state) {
   const DaemonCount count = CountOf(state);
-  return std::max({count.heard, count.listed + 1, count.entries});
+  return std::max({count.live, count.listed + 1, count.entries});
 }
 
-std::vector<const Work*> AllWorks(const State& state) {
-  std::vector<const Work*> works;
+std::vector<const ActiveRequest*> AllActiveRequests(const State& state) {
+  std::vector<const ActiveRequest*> works;
   for (const auto& [key, request] : state.requests) {
-    if (request.phase != Phase::kWaiting) works.push_back(&request.work);
+    if (request.phase != Phase::kWaiting)
+      works.push_back(&request.active_request);
   }
   for (const auto& [address, member] : state.members) {
-    if (!IsHeard(state, member)) continue;
-    for (const Work& it : member.snapshot.works) works.push_back(&it);
+    if (!IsLive(state, member)) continue;
+    for (const ActiveRequest& it : member.snapshot.active_requests)
+      works.push_back(&it);
   }
-  for (const auto& [key, it] : state.dispatch.asked) {
-    if (it.placed) works.push_back(&it.work);
+  for (const auto& [key, it] : state.dispatch.remote_placements) {
+    if (it.placement) works.push_back(&it.active_request);
   }
   return works;
 }
@@ -58,21 +60,21 @@
   }
   state.listed_peers.erase(state.options.peer_address);
   state.peers_listed = true;
-  CountDaemons(state);
+  UpdatePlacementMode(state);
   // Those that went long ago are not written to for ever.
   std::erase_if(state.members, [&](const auto& it) {
-    return !IsHeard(state, it.second) && !state.listed_peers.contains(it.first);
+    return !IsLive(state, it.second) && !state.listed_peers.contains(it.first);
   });
-  state.changed = true;
+  state.has_unpublished_changes = true;
 }
 
 void OnDaemonsCounted(State& state, const DaemonsCounted& event) {
   StoreFollowing& store = state.store;
-  if (event.asked <= store.entries_at) return;
-  store.entries = event.daemons;
-  store.entries_at = event.asked;
-  CountDaemons(state);
-  state.slack.DaemonsCounted(event.asked);
+  if (event.queried_at <= store.daemon_entries_at) return;
+  store.daemon_entries = event.daemons;
+  store.daemon_entries_at = event.queried_at;
+  UpdatePlacementMode(state);
+  state.slack_share.OnDaemonsCounted(event.queried_at);
 }
 
 bool IsFresh(const State& state) {
@@ -88,69 +90,72 @@
   if (seen.version == known.version) return;
   Log(state, "configuration_kept",
       {{"version", std::to_string(known.version)},
-       {"era", std::to_string(known.revision.era)},
+       {"era", std::to_string(known.revision.epoch)},
        {"revision", std::to_string(known.revision.number)},
        {"seen_version", std::to_string(seen.version)},
-       {"seen_era", std::to_string(seen.revision.era)},
+       {"seen_era", std::to_string(seen.revision.epoch)},
        {"seen_revision", std::to_string(seen.revision.number)}});
 }
 
-void TakeConfiguration(State& state, const ConfigurationSeen& event) {
+void TakeConfiguration(State& state, const ConfigurationReceived& event) {
   const Configuration& seen = event.configuration;
   state.configuration.emplace(seen);
   state.effects.emplace_back(ApplyLimits{.limits = seen.limits});
   Log(state, "configuration",
-      {{"era", std::to_string(seen.revision.era)},
+      {{"era", std::to_string(seen.revision.epoch)},
        {"revision", std::to_string(seen.revision.number)},
        {"version", std::to_string(seen.version)},
        {"routes", std::to_string(seen.routes.size())},
        {"accounts", std::to_string(seen.accounts.size())},
        // A watch brings a change without proof that it is the newest.
-       {"proved_ms_ago",
-        event.asked == Time{} ? "" : Millis(state.now - event.asked)}});
-  state.changed = true;
-  TakeAwaited(state);
+       {"proved_ms_ago", event.queried_at == Time{}
+                             ? ""
+                             : Millis(state.now - event.queried_at)}});
+  state.has_unpublished_changes = true;
+  ConfirmAwaited(state);
 }
 
 }  // namespace
 
-void OnConfiguration(State& state, const ConfigurationSeen& event) {
+void OnConfiguration(State& state, const ConfigurationReceived& event) {
   const ConfigurationStamp seen = event.configuration.stamp();
   // A watch says that the store is there, and proves nothing.
-  event.asked != Time{} ? NoteStoreReached(state) : NoteStoreHeard(state);
+  event.queried_at != Time{} ? RecordStoreReached(state)
+                             : RecordStoreResponse(state);
   const bool is_newer = IsNewer(seen, StampOf(state));
   // A copy's, or read late.
-  if (!is_newer && seen != state.store.era.stored) LogKept(state, seen);
+  if (!is_newer && seen != state.store.epoch.stored_configuration)
+    LogKept(state, seen);
   // Before it is taken: what was known tells whether it was written since a
   // restore.
-  NoteStored(state, seen);
+  RecordStoredConfiguration(state, seen);
   if (is_newer) TakeConfiguration(state, event);
   // It was the newest when the question was put: what is known is at least as
   // new, also where a watch has told of a newer one since.
-  ProveByStore(state, seen.revision.era, event.asked);
+  ConfirmByStore(state, seen.revision.epoch, event.queried_at);
 }
 
 void OnConfirmed(State& state, const ConfigurationConfirmed& event) {
-  NoteStoreReached(state);
+  RecordStoreReached(state);
   // That there is none yet is known too.
   const StoreRevision known = StampOf(state).revision;
-  if (known.era == event.revision.era && event.revision > known) return;
-  ProveByStore(state, event.revision.era, event.asked);
+  if (known.epoch == event.revision.epoch && event.revision > known) return;
+  ConfirmByStore(state, event.revision.epoch, event.queried_at);
 }
 
 }  // namespace internal
 
 bool IsServing(const State& state) {
-  return internal::IsFresh(state) && internal::KnowsConfiguration(state) &&
-         internal::KnowsBackends(state) && !state.stop_at;
+  return internal::IsFresh(state) && internal::IsConfigurationUsable(state) &&
+         internal::AreBackendsUsable(state) && !state.stop_at;
 }
 
-LookUpAnswer LookUp(const State& state) {
+ClientAddresses LookUpClientAddresses(const State& state) {
   // Short, so that a daemon that is gone is soon forgotten; some clients keep
   // an answer for three times as long, which a planned stop waits for.
   constexpr Duration kKeep = seconds(2);
-  LookUpAnswer answer{.addresses = internal::AddressesFor(state),
-                      .keep = kKeep};
+  ClientAddresses answer{.addresses = internal::AddressesFor(state),
+                         .time_to_live = kKeep};
   if (!answer.addresses.empty()) return answer;
   // Nobody is known to serve: any may come back first.
   answer.addresses.push_back(state.options.instance);
--- a/serving/src/placement.cc
+++ b/serving/src/placement.cc
@@ -21,12 +21,12 @@
 
 }  // namespace
 
-std::int64_t MostMemory(const EngineTiming& timing) {
+std::int64_t UsableMemoryTokens(const EngineTiming& timing) {
   return static_cast<std::int64_t>(static_cast<double>(timing.memory_tokens) *
                                    kMemoryPart);
 }
 
-std::int64_t FillLimit(const EngineTiming& timing) {
+std::int64_t RequestsBeforeNextEngine(const EngineTiming& timing) {
   return static_cast<std::int64_t>(static_cast<double>(timing.slots) * kFill);
 }
 
@@ -34,10 +34,10 @@
 
 namespace {
 
-using internal::FillLimit;
 using internal::FromMs;
-using internal::kLeastLongEngines;
-using internal::MostMemory;
+using internal::kMinLongPromptEngines;
+using internal::RequestsBeforeNextEngine;
+using internal::UsableMemoryTokens;
 
 // Reading before a short prompt that still keeps the pauses of those who write
 // there: the sites' shortest allowed pause is 200 ms, a pass without reading
@@ -62,8 +62,9 @@
 Duration PassesAround(const EngineTiming& timing, const EngineView& engine) {
   // For the way there and the turns between.
   constexpr Duration kMargin = milliseconds(20);
-  if (engine.writers == 0) return kMargin;
-  const Duration pass = PassTime(timing, engine.writers, engine.context_tokens);
+  if (engine.decoding == 0) return kMargin;
+  const Duration pass =
+      DecodeStepTime(timing, engine.decoding, engine.context_tokens);
   return kMargin + pass + pass / 2;
 }
 
@@ -97,33 +98,36 @@
 // The number of engines from the start of the order that short prompts use
 // while there is any room on them.
 std::size_t OpenToShort(const std::vector<EngineView>& pool) {
-  return pool.size() > 2 * kLeastLongEngines ? pool.size() - kLeastLongEngines
-                                             : pool.size();
+  return pool.size() > 2 * kMinLongPromptEngines
+             ? pool.size() - kMinLongPromptEngines
+             : pool.size();
 }
 
 Duration MostBacklog(const std::vector<EngineView>& pool) {
-  const auto idle = std::count_if(
-      pool.begin(), pool.end(),
-      [](const EngineView& it) { return it.running == 0 && it.helping == 0; });
+  const auto idle =
+      std::count_if(pool.begin(), pool.end(), [](const EngineView& it) {
+        return it.running == 0 && it.helper_parts == 0;
+      });
   const double most = kIdlePart * static_cast<double>(pool.size());
   return static_cast<double>(idle) > most ? kMostIdleBacklog
                                           : kMostShortBacklog;
 }
 
-Placing PlaceShort(const EngineTiming& timing,
-                   const std::vector<EngineView>& pool,
-                   const PlacementQuery& query) {
-  const Duration read = ReadTime(timing, query.prompt_tokens);
+PlacementResult PlaceShort(const EngineTiming& timing,
+                           const std::vector<EngineView>& pool,
+                           const PlacementQuery& query) {
+  const Duration read = PrefillTime(timing, query.prompt_tokens);
   const std::int64_t memory = query.prompt_tokens + query.answer_tokens;
   const auto wait = [&](const EngineView& it) {
     // Without a free slot the next writer to end decides; a full pass each.
     const std::int64_t over =
         std::max<std::int64_t>(it.running - timing.slots + 1, 0);
-    return it.backlog + over * PassTime(timing, it.running, it.context_tokens);
+    return it.prefill_backlog +
+           over * DecodeStepTime(timing, it.running, it.context_tokens);
   };
   const auto fits = [&](const EngineView& it, std::int64_t most_running) {
-    return !it.suspect && it.running < most_running &&
-           it.memory_used + memory <= MostMemory(timing);
+    return !it.suspected && it.running < most_running &&
+           it.memory_used + memory <= UsableMemoryTokens(timing);
   };
   // In order, while it costs nobody's pauses; then the least busy one of the
   // same engines; then any.
@@ -132,13 +136,14 @@
   std::size_t choices = 1;
   const Duration most_backlog = MostBacklog(pool);
   for (std::size_t i = 0; i < open && first.size() < choices; ++i) {
-    const bool quiet = pool[i].backlog + read <= std::max(most_backlog, read);
-    if (!quiet || !fits(pool[i], FillLimit(timing))) continue;
+    const bool quiet =
+        pool[i].prefill_backlog + read <= std::max(most_backlog, read);
+    if (!quiet || !fits(pool[i], RequestsBeforeNextEngine(timing))) continue;
     if (first.empty()) choices += i / kFullForChoice;
     first.push_back(&pool[i]);
   }
   const EngineView* best =
-      first.empty() ? nullptr : first[query.draw % first.size()];
+      first.empty() ? nullptr : first[query.tie_breaker % first.size()];
   const auto least_busy = [&](std::size_t n, std::int64_t most_running) {
     for (std::size_t i = 0; i < n; ++i) {
       if (!fits(pool[i], most_running)) continue;
@@ -148,45 +153,46 @@
   if (best == nullptr) least_busy(open, timing.slots);
   if (best == nullptr) least_busy(pool.size(), timing.slots);
   if (best == nullptr) least_busy(pool.size(), 2 * timing.slots);
-  if (best == nullptr) return NoRoomNow{Shortage::kBackends};
-  return Placed{
-      .backend = best->id,
-      .helpers = {},
-      .helper_tokens = {},
-      .first_token = wait(*best) + read +
-                     2 * PassTime(timing, best->running, best->context_tokens)};
+  if (best == nullptr) return NoCapacityNow{Shortage::kBackends};
+  return Placement{.backend = best->id,
+                   .helpers = {},
+                   .helper_tokens = {},
+                   .first_token = wait(*best) + read +
+                                  2 * DecodeStepTime(timing, best->running,
+                                                     best->context_tokens)};
 }
 
 }  // namespace
 
-Duration ReadTime(const EngineTiming& timing, std::int64_t prompt_tokens) {
+Duration PrefillTime(const EngineTiming& timing, std::int64_t prompt_tokens) {
   const auto n = static_cast<double>(prompt_tokens);
   const double pairs = n * n / 2 / 1e6;
-  return FromMs(n / timing.read_tokens_per_ms +
-                pairs * timing.pairs_ms_per_million);
+  return FromMs(n / timing.prefill_tokens_per_ms +
+                pairs * timing.attention_ms_per_million_pairs);
 }
 
-Duration PassTime(const EngineTiming& timing, std::int64_t writers,
-                  std::int64_t context_tokens) {
+Duration DecodeStepTime(const EngineTiming& timing, std::int64_t writers,
+                        std::int64_t context_tokens) {
   const double step =
-      timing.step_ms + static_cast<double>(writers) * timing.writer_ms +
+      timing.step_ms +
+      static_cast<double>(writers) * timing.step_ms_per_decoder +
       static_cast<double>(context_tokens) / 1000 * timing.context_ms_per_1000;
   return FromMs(step * static_cast<double>(timing.tokens_per_event));
 }
 
-std::size_t EnginesForLong(const EngineTiming& timing, std::size_t engines,
-                           std::size_t short_prompts) {
-  const auto limit = static_cast<double>(FillLimit(timing));
+std::size_t EnginesForLongPrompts(const EngineTiming& timing,
+                                  std::size_t engines,
+                                  std::size_t short_prompts) {
+  const auto limit = static_cast<double>(RequestsBeforeNextEngine(timing));
   const auto kept = static_cast<std::size_t>(
       static_cast<double>(short_prompts) / std::max(limit, 1.0));
   const std::size_t rest = engines > kept + 1 ? engines - kept - 1 : 1;
-  return std::max(rest, std::min(engines, kLeastLongEngines));
+  return std::max(rest, std::min(engines, kMinLongPromptEngines));
 }
 
-std::vector<EngineView> ViewPool(const EngineTiming& timing,
-                                 std::vector<EngineView> engines,
-                                 const std::vector<const Work*>& works,
-                                 Time now) {
+std::vector<EngineView> BuildPoolView(
+    const EngineTiming& timing, std::vector<EngineView> engines,
+    const std::vector<const ActiveRequest*>& works, Time now) {
   std::vector<std::vector<Part>> parts(engines.size());
   const auto find = [&](BackendId id) -> std::optional<std::size_t> {
     const auto it = std::lower_bound(
@@ -195,10 +201,10 @@
     if (it == engines.end() || it->id != id) return std::nullopt;
     return static_cast<std::size_t>(it - engines.begin());
   };
-  for (const Work* it : works) {
-    const Duration read = ReadTime(timing, it->prompt_tokens);
+  for (const ActiveRequest* it : works) {
+    const Duration read = PrefillTime(timing, it->prompt_tokens);
     const Part part{
-        .started = it->started,
+        .started = it->started_at,
         .length = read / static_cast<Duration::rep>(it->helpers.size() + 1)};
     std::int64_t elsewhere = 0;
     for (std::size_t i = 0; i < it->helpers.size(); ++i) {
@@ -208,8 +214,8 @@
       elsewhere += tokens;
       if (!at) continue;
       engines[*at].memory_used += tokens;
-      if (it->writing) continue;
-      ++engines[*at].helping;
+      if (it->decoding) continue;
+      ++engines[*at].helper_parts;
       parts[*at].push_back(part);
       parts[*at].back().helps = true;
     }
@@ -217,33 +223,35 @@
     if (!at) continue;
     EngineView& engine = engines[*at];
     ++engine.running;
-    if (it->longest_pause > Duration::zero()) {
-      engine.least_pause = std::min(engine.least_pause, it->longest_pause);
+    if (it->max_event_gap > Duration::zero()) {
+      engine.min_event_gap_limit =
+          std::min(engine.min_event_gap_limit, it->max_event_gap);
     }
-    if (read <= kShortRead) ++engine.short_running;
+    if (read <= kShortPromptPrefillLimit) ++engine.short_running;
     const std::int64_t here = it->prompt_tokens + it->answer_tokens - elsewhere;
     engine.memory_used += here;
-    if (it->writing) {
-      ++engine.writers;
+    if (it->decoding) {
+      ++engine.decoding;
       engine.context_tokens += here;
     } else {
-      ++engine.reading;
+      ++engine.prefilling;
       parts[*at].push_back(part);
     }
   }
   for (std::size_t i = 0; i < engines.size(); ++i) {
-    engines[i].backlog =
+    engines[i].prefill_backlog =
         BacklogOf(std::move(parts[i]), now, PassesAround(timing, engines[i]));
   }
   return engines;
 }
 
-Placing Place(const EngineTiming& timing, const std::vector<EngineView>& pool,
-              const PlacementQuery& query) {
-  if (ReadTime(timing, query.prompt_tokens) <= kShortRead) {
+PlacementResult PlacePrompt(const EngineTiming& timing,
+                            const std::vector<EngineView>& pool,
+                            const PlacementQuery& query) {
+  if (PrefillTime(timing, query.prompt_tokens) <= kShortPromptPrefillLimit) {
     return PlaceShort(timing, pool, query);
   }
-  return internal::PlaceLong(timing, pool, query);
+  return internal::PlaceLongPrompt(timing, pool, query);
 }
 
 }  // namespace scaleshed::serving
--- a/serving/src/proofs.cc
+++ b/serving/src/proofs.cc
@@ -35,77 +35,80 @@
 constexpr std::size_t kMostAwaited = 32;
 
 Duration Part(const State& state, double part) {
-  return PartOf(state.options.news_within, part);
+  return FractionOf(state.options.propagation_limit, part);
 }
 
 // `proved` is one of the state's times.
 void Prove(State& state, Time& proved, Time asked) {
   const bool was_serving = IsServing(state);
   proved = std::max(proved, asked);
-  if (was_serving != IsServing(state)) state.changed = true;
+  if (was_serving != IsServing(state)) state.has_unpublished_changes = true;
 }
 
-bool IsYoung(const State& state, Time proved) {
+bool IsWarmingUp(const State& state, Time proved) {
   return state.now < proved + Part(state, kUsePart);
 }
 
 // Whether what was the newest at `proved` may be gone by.
 bool IsUsable(const State& state, Time proved) {
-  return IsYoung(state, proved) || IsStoreSilent(state) ||
+  return IsWarmingUp(state, proved) || IsStoreUnresponsive(state) ||
          IsJustRestored(state) ||
-         state.now < state.store.returned_at + Part(state, kReturnPart);
+         state.now < state.store.recovered_at + Part(state, kReturnPart);
 }
 
 }  // namespace
 
-Time ProvedAt(const State& state) {
+Time StoreConfirmedAt(const State& state) {
   // No question can prove the configuration then.
-  if (AwaitsOperators(state)) return state.store.backends_confirmed_at;
+  if (AwaitsConfigurationRewrite(state))
+    return state.store.backends_confirmed_at;
   return std::min(state.confirmed_at, state.store.backends_confirmed_at);
 }
 
-bool IsStoreSilent(const State& state) {
+bool IsStoreUnresponsive(const State& state) {
   const StoreFollowing& store = state.store;
-  if (!store.unanswered_since) return false;
-  const Duration unanswered = state.now - *store.unanswered_since;
-  const Duration unheard = state.now - store.heard_at;
+  if (!store.unanswered_query_since) return false;
+  const Duration unanswered = state.now - *store.unanswered_query_since;
+  const Duration unheard = state.now - store.last_response_at;
   return unanswered >= Part(state, kSilentPart) ||
          (unanswered >= Part(state, kUnansweredPart) &&
           unheard >= Part(state, kSilentPart));
 }
 
-bool KnowsBackends(const State& state) {
+bool AreBackendsUsable(const State& state) {
   // Where no list was ever had there is nothing to go by, however silent the
   // store is: none would be taken for a list without servers.
   const Time proved = state.store.backends_confirmed_at;
   return proved != Time{} && IsUsable(state, proved);
 }
 
-bool KnowsConfiguration(const State& state) {
+bool IsConfigurationUsable(const State& state) {
   return state.configuration.has_value() &&
-         (IsUsable(state, state.confirmed_at) || AwaitsOperators(state));
+         (IsUsable(state, state.confirmed_at) ||
+          AwaitsConfigurationRewrite(state));
 }
 
-void NoteQuestion(State& state) {
-  if (!state.store.unanswered_since) state.store.unanswered_since = state.now;
+void RecordStoreQuery(State& state) {
+  if (!state.store.unanswered_query_since)
+    state.store.unanswered_query_since = state.now;
 }
 
-void NoteHeardByOthers(State& state, Duration age) {
-  Time& heard = state.store.heard_at;
+void RecordPeerStoreResponse(State& state, Duration age) {
+  Time& heard = state.store.last_response_at;
   heard = std::max(heard, state.now - age);
 }
 
-void NoteStoreHeard(State& state) {
+void RecordStoreResponse(State& state) {
   StoreFollowing& store = state.store;
-  if (IsStoreSilent(state)) {
-    store.returned_at = state.now;
-    store.ask_due = state.now;
+  if (IsStoreUnresponsive(state)) {
+    store.recovered_at = state.now;
+    store.poll_due = state.now;
     Log(state, "store_speaks",
-        {{"silent_ms", Millis(state.now - store.heard_at)},
-         {"proved_ms_ago", Millis(state.now - ProvedAt(state))}});
+        {{"silent_ms", Millis(state.now - store.last_response_at)},
+         {"proved_ms_ago", Millis(state.now - StoreConfirmedAt(state))}});
   }
-  store.heard_at = state.now;
-  store.unanswered_since.reset();
+  store.last_response_at = state.now;
+  store.unanswered_query_since.reset();
 }
 
 void ConfirmConfiguration(State& state, Time asked) {
@@ -118,7 +121,7 @@
 
 void AwaitConfiguration(State& state, const ConfigurationStamp& stamp,
                         Time asked) {
-  auto& awaited = state.store.awaited;
+  auto& awaited = state.store.awaited_configurations;
   const auto known =
       std::find_if(awaited.begin(), awaited.end(),
                    [&](const auto& it) { return it.first == stamp; });
@@ -130,8 +133,8 @@
   if (awaited.size() > kMostAwaited) awaited.pop_front();
 }
 
-void TakeAwaited(State& state) {
-  auto& awaited = state.store.awaited;
+void ConfirmAwaited(State& state) {
+  auto& awaited = state.store.awaited_configurations;
   for (const auto& [stamp, asked] : awaited) {
     if (!IsNewer(stamp, StampOf(state))) ConfirmConfiguration(state, asked);
   }
@@ -147,21 +150,22 @@
   const Time end = state.now + kLapseWait;
   // It may have left as soon as it was last known to be there. After a longer
   // silence nothing is known of that time, and all of them may have lapsed.
-  return IsYoung(state, proved) ? std::min(end, proved + Part(state, kUsePart))
-                                : end;
+  return IsWarmingUp(state, proved)
+             ? std::min(end, proved + Part(state, kUsePart))
+             : end;
 }
 
-void NoteLag(State& state) {
+void LogLagChange(State& state) {
   const bool lags = state.configuration.has_value() &&
-                    !(KnowsBackends(state) && KnowsConfiguration(state));
-  if (lags == state.store.lags) return;
-  state.store.lags = lags;
-  state.changed = true;
+                    !(AreBackendsUsable(state) && IsConfigurationUsable(state));
+  if (lags == state.store.logged_as_lagging) return;
+  state.store.logged_as_lagging = lags;
+  state.has_unpublished_changes = true;
   Log(state, lags ? "lags" : "caught_up",
       {{"confirmed_ms_ago", Millis(state.now - state.confirmed_at)},
        {"listed_ms_ago", Millis(state.now - state.store.backends_confirmed_at)},
-       {"heard_ms_ago", Millis(state.now - state.store.heard_at)},
-       {"failures", std::to_string(state.store.failures)}});
+       {"heard_ms_ago", Millis(state.now - state.store.last_response_at)},
+       {"failures", std::to_string(state.store.consecutive_failures)}});
 }
 
 }  // namespace scaleshed::serving::internal
