--- a/serving/src/queue.cc
+++ b/serving/src/queue.cc
@@ -25,49 +25,51 @@
 // that wait for memory starved them.
 bool IsInLine(const Request& request, const std::string& service) {
   return request.phase == Phase::kWaiting && request.service == service &&
-         request.read > kShortRead && request.waits_for != Shortage::kTickets;
+         request.prefill_time > kShortPromptPrefillLimit &&
+         request.waits_for != Shortage::kCombinedMemory;
 }
 
 }  // namespace
 
-Time TurnOf(const State& state, Time arrived, Time due, Duration read) {
+Time QueueKeyOf(const State& state, Time arrived, Time due, Duration read) {
   return arrived + read * (state.now > due ? kLateFactor : 1);
 }
 
-Time TurnOf(const State& state, const Demand& demand) {
-  return TurnOf(state, demand.arrived, demand.due, demand.read);
+Time QueueKeyOf(const State& state, const PlacementDemand& demand) {
+  return QueueKeyOf(state, demand.arrived, demand.due, demand.prefill_time);
 }
 
-Time TurnOf(const State& state, const Request& request) {
-  return TurnOf(state, request.arrived, request.due, request.read);
+Time QueueKeyOf(const State& state, const Request& request) {
+  return QueueKeyOf(state, request.arrived, request.due, request.prefill_time);
 }
 
-Time TurnOf(const State& state, const AskedPlace& asked) {
-  return TurnOf(state, asked.question.arrived, asked.question.due, asked.read);
+Time QueueKeyOf(const State& state, const RemotePlacement& asked) {
+  return QueueKeyOf(state, asked.request.arrived, asked.request.due,
+                    asked.prefill_time);
 }
 
-bool AwaitsStart(const Request& request) {
+bool AwaitsRateLimit(const Request& request) {
   return request.phase == Phase::kWaiting &&
-         request.waits_for == Shortage::kLimit;
+         request.waits_for == Shortage::kRateLimit;
 }
 
-std::vector<Waiting> WaitingOf(const State& state) {
-  std::vector<Waiting> waiting;
+std::vector<WaitingRequest> WaitingOf(const State& state) {
+  std::vector<WaitingRequest> waiting;
   for (const auto& [key, it] : state.requests) {
-    if (!IsInLine(it, it.service) && !AwaitsStart(it)) continue;
+    if (!IsInLine(it, it.service) && !AwaitsRateLimit(it)) continue;
     waiting.push_back({.id = it.key,
                        .service = it.service,
-                       .turn = TurnOf(state, it),
-                       .read = it.read,
-                       .for_start = AwaitsStart(it)});
+                       .queue_key = QueueKeyOf(state, it),
+                       .prefill_time = it.prefill_time,
+                       .awaits_rate_limit = AwaitsRateLimit(it)});
   }
   return waiting;
 }
 
-Outlook OutlookOf(const State& state, const Demand& demand,
-                  const EngineTiming& timing, std::size_t engines) {
-  const Time turn = TurnOf(state, demand);
-  Outlook outlook;
+QueueEstimate EstimateQueue(const State& state, const PlacementDemand& demand,
+                            const EngineTiming& timing, std::size_t engines) {
+  const Time turn = QueueKeyOf(state, demand);
+  QueueEstimate outlook;
   Duration before{};
   const auto add = [&](Time other, Duration read) {
     if (other >= turn) return;
@@ -76,49 +78,56 @@
   };
   // A prompt's own turn is not before itself.
   for (const auto& [key, it] : state.requests) {
-    if (IsInLine(it, demand.service)) add(TurnOf(state, it), it.read);
+    if (IsInLine(it, demand.service))
+      add(QueueKeyOf(state, it), it.prefill_time);
   }
-  for (const auto& [key, it] : state.dispatch.asked) {
-    const bool in_line = !it.placed && it.read > kShortRead &&
-                         it.waits_for != Shortage::kTickets &&
-                         it.question.service == demand.service;
-    if (in_line) add(TurnOf(state, it), it.read);
+  for (const auto& [key, it] : state.dispatch.remote_placements) {
+    const bool in_line = !it.placement &&
+                         it.prefill_time > kShortPromptPrefillLimit &&
+                         it.waits_for != Shortage::kCombinedMemory &&
+                         it.request.service == demand.service;
+    if (in_line) add(QueueKeyOf(state, it), it.prefill_time);
   }
   for (const auto& [address, member] : state.members) {
-    if (!IsHeard(state, member)) continue;
-    for (const Waiting& it : member.snapshot.waiting) {
-      const bool in_line = it.read > kShortRead;
-      if (in_line && it.service == demand.service) add(it.turn, it.read);
+    if (!IsLive(state, member)) continue;
+    for (const WaitingRequest& it : member.snapshot.waiting) {
+      const bool in_line = it.prefill_time > kShortPromptPrefillLimit;
+      if (in_line && it.service == demand.service)
+        add(it.queue_key, it.prefill_time);
     }
   }
   std::size_t short_prompts = 0;
-  for (const Work* it : AllWorks(state)) {
+  for (const ActiveRequest* it : AllActiveRequests(state)) {
     // Plain requests have no prompt.
     if (it->prompt_tokens == 0) continue;
-    const Duration read = ReadTime(timing, it->prompt_tokens);
-    if (read <= kShortRead) ++short_prompts;
-    if (it->writing || read <= kShortRead) continue;
+    const Duration read = PrefillTime(timing, it->prompt_tokens);
+    if (read <= kShortPromptPrefillLimit) ++short_prompts;
+    if (it->decoding || read <= kShortPromptPrefillLimit) continue;
     const auto parts = static_cast<Duration::rep>(it->helpers.size() + 1);
-    const Duration gone = (state.now - it->started) * parts;
+    const Duration gone = (state.now - it->started_at) * parts;
     before += std::max(read - gone, Duration::zero());
   }
-  const double capacity = kReadingPart * static_cast<double>(EnginesForLong(
-                                             timing, engines, short_prompts));
-  const auto spread = [&](Duration work) { return PartOf(work, 1 / capacity); };
+  const double capacity =
+      kReadingPart * static_cast<double>(
+                         EnginesForLongPrompts(timing, engines, short_prompts));
+  const auto spread = [&](Duration work) {
+    return FractionOf(work, 1 / capacity);
+  };
   outlook.start = spread(before);
-  outlook.first_token = outlook.start + spread(demand.read);
+  outlook.first_token = outlook.start + spread(demand.prefill_time);
   return outlook;
 }
 
-Duration RetryAfterOf(const State& state, const Demand& demand,
+Duration RetryAfterOf(const State& state, const PlacementDemand& demand,
                       Duration expected) {
-  const Duration most = PartOf(demand.deadline - state.now, kMostRetryPart);
+  const Duration most = FractionOf(demand.deadline - state.now, kMostRetryPart);
   return std::clamp(expected, kLeastRetryAfter,
                     std::max(most, kLeastRetryAfter));
 }
 
-std::optional<GivenUp> GivesUp(State& state, const Demand& demand,
-                               const Outlook& outlook) {
+std::optional<DeadlineUnreachable> CheckDeadline(State& state,
+                                                 const PlacementDemand& demand,
+                                                 const QueueEstimate& outlook) {
   const Time expected = state.now + outlook.first_token;
   if (expected <= demand.deadline) return std::nullopt;
   Log(state, "gives_up",
@@ -128,7 +137,8 @@
        {"expected_start_ms", Millis(outlook.start)},
        {"expected_first_ms", Millis(outlook.first_token)},
        {"waited_ms", Millis(state.now - demand.arrived)}});
-  return GivenUp{.retry_after = RetryAfterOf(state, demand, outlook.start)};
+  return DeadlineUnreachable{.retry_after =
+                                 RetryAfterOf(state, demand, outlook.start)};
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/reducer.cc
+++ b/serving/src/reducer.cc
@@ -28,18 +28,20 @@
 void OnStop(State& state) {
   if (state.stop_at) return;
   state.stop_at = state.now;
-  state.changed = true;
+  state.has_unpublished_changes = true;
   // Its entry is taken away, and others share what it had.
-  state.slack.EntryEnded();
+  state.slack_share.OnEntryRemoved();
   Log(state, "stopping", {{"requests", std::to_string(state.requests.size())}});
 }
 
 void FinishStop(State& state) {
   if (!state.stop_at || state.exited) return;
   const Duration since = state.now - *state.stop_at;
-  const bool last = since >= PartOf(state.options.grace, kLastPart);
-  const bool quiet = since >= PartOf(state.options.grace, kTakingPart) &&
-                     state.requests.empty();
+  const bool last =
+      since >= FractionOf(state.options.shutdown_grace, kLastPart);
+  const bool quiet =
+      since >= FractionOf(state.options.shutdown_grace, kTakingPart) &&
+      state.requests.empty();
   if (!last && !quiet) return;
   while (!state.requests.empty()) {
     Request& request = state.requests.begin()->second;
@@ -54,68 +56,79 @@
 void OnTick(State& state) {
   state.ticked_at = state.now;
   // Before anything is sent.
-  DropLapsed(state);
-  NoteLag(state);
-  TakeFirstProof(state);
-  AskLivesAgain(state);
+  DropLapsedBackends(state);
+  LogLagChange(state);
+  ApplyFirstConfirmation(state);
+  RepeatLivenessProbes(state);
   ExpireAttempts(state);
-  StartWaiting(state);
-  if (state.now >= state.looked_at + kLookAround) {
-    state.looked_at = state.now;
-    AskReports(state);
-    PublishWhole(state);
-    ForgetLimits(state);
-    ForgetLeaving(state);
-    ForgetRests(state);
-    TakeRoles(state);
+  StartWaitingRequests(state);
+  if (state.now >= state.roles_updated_at + kLookAround) {
+    state.roles_updated_at = state.now;
+    FetchDueReports(state);
+    PublishFullSnapshots(state);
+    DropExpiredRateLimits(state);
+    DropExpiredLeaving(state);
+    DropExpiredBackoffs(state);
+    UpdateStoreRoles(state);
   }
   FollowStore(state);
-  SaveEndingsDue(state);
+  SaveCrashesIfDue(state);
   FinishStop(state);
 }
 
 void Apply(State& state, const EventBody& body) {
   std::visit(
       Overloaded{
-          [&](const RequestArrived& it) { Admit(state, it); },
-          [&](const ClientGone& it) { OnClientGone(state, it); },
+          [&](const RequestArrived& it) { AdmitRequest(state, it); },
+          [&](const ClientDisconnected& it) { OnClientGone(state, it); },
           [&](const StreamEvent& it) { OnStreamEvent(state, it); },
           [&](const AttemptAnswered& it) { OnAnswered(state, it); },
           [&](const AttemptFailed& it) { OnFailed(state, it); },
-          [&](const AnswerBegun& it) { OnAnswerBegun(state, it); },
-          [&](const MemoryAnswered& it) { OnMemoryAnswered(state, it); },
-          [&](const ReportSeen& it) { OnReport(state, it); },
-          [&](const LifeSeen& it) { OnLifeSeen(state, it); },
-          [&](const ConfigurationSeen& it) { OnConfiguration(state, it); },
+          [&](const ResponseHeadReceived& it) { OnResponseHead(state, it); },
+          [&](const MemoryReservationAnswered& it) {
+            OnMemoryAnswered(state, it);
+          },
+          [&](const EngineReportReceived& it) { OnReport(state, it); },
+          [&](const LivenessProbed& it) { OnLivenessProbed(state, it); },
+          [&](const ConfigurationReceived& it) { OnConfiguration(state, it); },
           [&](const ConfigurationConfirmed& it) { OnConfirmed(state, it); },
           [&](const BackendsConfirmed& it) { OnBackendsConfirmed(state, it); },
-          [&](const BackendsComplete& it) { NoteComplete(state, it.revision); },
-          [&](const StoreEraSeen& it) { NoteEra(state, it.era, ""); },
-          [&](const SettledEraSeen& it) { OnSettledEra(state, it.era); },
-          [&](const StoreAsked&) { NoteQuestion(state); },
-          [&](const StoreHeard&) { NoteStoreHeard(state); },
+          [&](const BackendChangesComplete& it) {
+            RecordCompleteUpTo(state, it.revision);
+          },
+          [&](const StoreEpochObserved& it) {
+            ObserveEpoch(state, it.epoch, "");
+          },
+          [&](const ReconciledEpochObserved& it) {
+            OnReconciledEpoch(state, it.epoch);
+          },
+          [&](const StoreQueried&) { RecordStoreQuery(state); },
+          [&](const StoreResponded&) { RecordStoreResponse(state); },
           [&](const StoreUnreachable&) { OnStoreUnreachable(state); },
           [&](const StoreRelayReceived& it) { OnStoreRelay(state, it.relay); },
           [&](const BackendListed& it) { OnListed(state, it.backend); },
           [&](const BackendUnlisted& it) { OnUnlisted(state, it); },
           [&](const BackendsListed& it) { OnAllListed(state, it); },
-          [&](const EndingsStored& it) { OnEndingsStored(state, it.endings); },
-          [&](const AllEndingsListed& it) { OnAllEndingsListed(state, it); },
-          [&](const EndingsSaved&) { OnEndingsSaved(state); },
+          [&](const CrashesStored& it) { OnCrashesStored(state, it.crashes); },
+          [&](const AllCrashesListed& it) { OnAllCrashesListed(state, it); },
+          [&](const SaveCrashesFinished&) { OnSaveCrashesFinished(state); },
           [&](const PeersListed& it) { OnPeersListed(state, it); },
-          [&](const EntryHeld& it) {
+          [&](const OwnEntryConfirmed& it) {
             if (state.stop_at) return;
-            state.slack.EntryHeld(state.now, it.until, it.anew);
+            state.slack_share.OnEntryConfirmed(state.now, it.valid_until,
+                                               it.newly_written);
+          },
+          [&](const OwnEntryRemoved&) { state.slack_share.OnEntryRemoved(); },
+          [&](const OwnEntryLost&) {
+            state.slack_share.OnEntryLost(state.now);
           },
-          [&](const EntryEnded&) { state.slack.EntryEnded(); },
-          [&](const EntryForgotten&) { state.slack.EntryForgotten(state.now); },
           [&](const DaemonsCounted& it) { OnDaemonsCounted(state, it); },
           [&](const SnapshotReceived& it) { OnSnapshot(state, it); },
-          [&](const PlaceQuestionReceived& it) {
-            OnPlaceQuestion(state, it.question);
+          [&](const PlacementRequestReceived& it) {
+            OnPlacementRequest(state, it.request);
           },
-          [&](const PlaceAnswerReceived& it) {
-            OnPlaceAnswer(state, it.answer);
+          [&](const PlacementResponseReceived& it) {
+            OnPlacementResponse(state, it.response);
           },
           [&](const Tick&) { OnTick(state); },
           [&](const StopRequested&) { OnStop(state); }},
@@ -127,7 +140,7 @@
 void Log(State& state, std::string what,
          std::vector<std::pair<std::string, std::string>> fields,
          bool routine) {
-  state.effects.emplace_back(LogDecision{.what = std::move(what),
+  state.effects.emplace_back(LogDecision{.event = std::move(what),
                                          .fields = std::move(fields),
                                          .routine = routine});
 }
@@ -137,11 +150,11 @@
       std::chrono::duration_cast<milliseconds>(duration).count());
 }
 
-bool IsYoung(const State& state) {
+bool IsWarmingUp(const State& state) {
   return state.now - state.started_at < kYoungFor;
 }
 
-Duration Drawn(State& state, Duration most) {
+Duration RandomDuration(State& state, Duration most) {
   const auto n =
       static_cast<std::uint64_t>(std::max<Duration::rep>(most.count(), 1));
   return Duration(static_cast<Duration::rep>(state.random() % n));
@@ -153,20 +166,20 @@
   state.now = std::max(state.now, event.now);
   if (state.started_at == Time{}) state.started_at = state.now;
   internal::Apply(state, event.body);
-  internal::AdmitEarly(state);
-  internal::PublishChanges(state);
+  internal::AdmitEarlyRequests(state);
+  internal::PublishIncrementalSnapshot(state);
   return std::exchange(state.effects, {});
 }
 
 Time NextWake(const State& state) {
   const bool busy =
-      !state.requests.empty() || !state.early.empty() ||
-      state.stop_at.has_value() || !state.dispatch.asked.empty() ||
-      !state.life_checks.empty() || state.quarantine.has_unsaved();
+      !state.requests.empty() || !state.early_requests.empty() ||
+      state.stop_at.has_value() || !state.dispatch.remote_placements.empty() ||
+      !state.liveness_checks.empty() || state.quarantine.has_unsaved();
   const Time tick =
       state.ticked_at + (busy ? internal::kBusyTick : internal::kIdleTick);
-  const Time due = std::min(tick, internal::StoreDue(state));
-  return std::min(due, state.dispatch.answer_due.value_or(due));
+  const Time due = std::min(tick, internal::NextStoreWake(state));
+  return std::min(due, state.dispatch.response_due.value_or(due));
 }
 
 }  // namespace scaleshed::serving
--- a/serving/src/repeat_budget.cc
+++ b/serving/src/repeat_budget.cc
@@ -15,41 +15,42 @@
 
 }  // namespace
 
-void RepeatBudget::CountRequest(Time now) {
-  Forget(now);
+void RetryBudget::CountRequest(Time now) {
+  DropExpired(now);
   requests_.push_back(now);
 }
 
-bool RepeatBudget::Plan(Time now, double part) {
-  const RepeatAccount account = Account(now, part);
-  const auto taken = static_cast<double>(account.repeats + account.planned);
-  if (taken + 1 > account.room) return false;
-  ++planned_;
+bool RetryBudget::ReserveRetry(Time now, double part) {
+  const RetryUsage account = Usage(now, part);
+  const auto taken = static_cast<double>(account.retries + account.reserved);
+  if (taken + 1 > account.available) return false;
+  ++reserved_;
   return true;
 }
 
-bool RepeatBudget::Send(Time now, double part) {
-  Drop();
-  const RepeatAccount account = Account(now, part);
-  if (static_cast<double>(account.repeats) + 1 > account.room) return false;
-  repeats_.push_back(now);
+bool RetryBudget::CommitRetry(Time now, double part) {
+  ReleaseRetry();
+  const RetryUsage account = Usage(now, part);
+  if (static_cast<double>(account.retries) + 1 > account.available)
+    return false;
+  retries_.push_back(now);
   return true;
 }
 
-RepeatAccount RepeatBudget::Account(Time now, double part) {
-  Forget(now);
+RetryUsage RetryBudget::Usage(Time now, double part) {
+  DropExpired(now);
   const auto requests = static_cast<double>(requests_.size());
   return {.requests = requests_.size(),
-          .repeats = repeats_.size(),
-          .planned = planned_,
-          .room = kRatioPart * options_.ratio * requests +
-                  kSlackPart * options_.slack * part};
+          .retries = retries_.size(),
+          .reserved = reserved_,
+          .available = kRatioPart * options_.ratio * requests +
+                       kSlackPart * options_.slack * part};
 }
 
-void RepeatBudget::Forget(Time now) {
+void RetryBudget::DropExpired(Time now) {
   const Time from = now - options_.window;
   while (!requests_.empty() && requests_.front() < from) requests_.pop_front();
-  while (!repeats_.empty() && repeats_.front() < from) repeats_.pop_front();
+  while (!retries_.empty() && retries_.front() < from) retries_.pop_front();
 }
 
 }  // namespace scaleshed::serving
--- a/serving/src/repeats.cc
+++ b/serving/src/repeats.cc
@@ -9,34 +9,34 @@
 // A send after one that may have run needs at least so much time.
 constexpr Duration kLeastTimeLeft = milliseconds(50);
 
-RepeatBudget& BudgetOf(State& state, const Request& request) {
-  return state.budgets
-      .try_emplace(request.service, RepeatBudget(state.options.repeats))
+RetryBudget& BudgetOf(State& state, const Request& request) {
+  return state.retry_budgets
+      .try_emplace(request.service, RetryBudget(state.options.retry_budget))
       .first->second;
 }
 
 void LogRepeat(State& state, const Request& request, const std::string& step,
                bool allowed) {
   const DaemonCount count = CountOf(state);
-  const RepeatAccount account =
+  const RetryUsage account =
       BudgetOf(state, request)
-          .Account(state.now, state.slack.PartAt(state.now));
+          .Usage(state.now, state.slack_share.FractionAt(state.now));
   Log(state, "repeat",
-      {{"request", request.facts.id},
+      {{"request", request.metadata.id},
        {"service", request.service},
        {"step", step},
        {"allowed", allowed ? "true" : "false"},
        {"requests", std::to_string(account.requests)},
-       {"repeats", std::to_string(account.repeats)},
-       {"planned", std::to_string(account.planned)},
-       {"room", std::to_string(static_cast<std::int64_t>(account.room))},
-       {"share",
-        std::string(NameIn(kShareStateNames, state.slack.StateAt(state.now)))},
-       {"daemons", std::to_string(state.slack.daemons())},
-       {"daemons_heard", std::to_string(count.heard)},
+       {"repeats", std::to_string(account.retries)},
+       {"planned", std::to_string(account.reserved)},
+       {"room", std::to_string(static_cast<std::int64_t>(account.available))},
+       {"share", std::string(NameIn(kShareStateNames,
+                                    state.slack_share.StateAt(state.now)))},
+       {"daemons", std::to_string(state.slack_share.daemons())},
+       {"daemons_heard", std::to_string(count.live)},
        {"daemons_listed", std::to_string(count.listed)},
        {"daemons_entries", std::to_string(count.entries)},
-       {"counted_ms_ago", Millis(state.now - state.store.entries_at)}});
+       {"counted_ms_ago", Millis(state.now - state.store.daemon_entries_at)}});
 }
 
 }  // namespace
@@ -45,39 +45,41 @@
   BudgetOf(state, request).CountRequest(state.now);
 }
 
-NoRepeat ForbidsRepeat(State& state, Request& request) {
-  if (state.now + kLeastTimeLeft >= request.deadline) return NoRepeat::kTime;
-  if (request.arrivals == 0) return NoRepeat::kNothing;
+RetryDenial ReserveRetry(State& state, Request& request) {
+  if (state.now + kLeastTimeLeft >= request.deadline) return RetryDenial::kTime;
+  if (request.delivered_sends == 0) return RetryDenial::kNothing;
   const bool allowed =
-      BudgetOf(state, request).Plan(state.now, state.slack.PartAt(state.now));
-  request.repeat_planned = allowed;
+      BudgetOf(state, request)
+          .ReserveRetry(state.now, state.slack_share.FractionAt(state.now));
+  request.retry_reserved = allowed;
   LogRepeat(state, request, "plan", allowed);
-  if (allowed) return NoRepeat::kNothing;
-  state.effects.emplace_back(Count{Counter::kRepeatsDenied});
-  return NoRepeat::kBudget;
+  if (allowed) return RetryDenial::kNothing;
+  state.effects.emplace_back(IncrementCounter{Counter::kRetriesDenied});
+  return RetryDenial::kBudget;
 }
 
-NoRepeat ForbidsRerun(State& state, Request& request) {
-  if (!MayRunAgain(request.route.kind)) return NoRepeat::kKind;
-  if (request.runs >= std::max(request.route.max_sends, 1)) {
-    return NoRepeat::kRuns;
+RetryDenial ReserveRerun(State& state, Request& request) {
+  if (!MayRunAgain(request.route.kind)) return RetryDenial::kKind;
+  if (request.possible_runs >= std::max(request.route.max_sends, 1)) {
+    return RetryDenial::kRuns;
   }
-  return ForbidsRepeat(state, request);
+  return ReserveRetry(state, request);
 }
 
-bool TakeRepeat(State& state, Request& request) {
-  if (!std::exchange(request.repeat_planned, false)) return true;
+bool CommitRetry(State& state, Request& request) {
+  if (!std::exchange(request.retry_reserved, false)) return true;
   const bool sends =
-      BudgetOf(state, request).Send(state.now, state.slack.PartAt(state.now));
+      BudgetOf(state, request)
+          .CommitRetry(state.now, state.slack_share.FractionAt(state.now));
   if (!sends) LogRepeat(state, request, "send", sends);
   state.effects.emplace_back(
-      Count{sends ? Counter::kRepeats : Counter::kRepeatsDenied});
+      IncrementCounter{sends ? Counter::kRetries : Counter::kRetriesDenied});
   return sends;
 }
 
-void DropRepeat(State& state, Request& request) {
-  if (!std::exchange(request.repeat_planned, false)) return;
-  BudgetOf(state, request).Drop();
+void ReleaseRetry(State& state, Request& request) {
+  if (!std::exchange(request.retry_reserved, false)) return;
+  BudgetOf(state, request).ReleaseRetry();
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/reports.cc
+++ b/serving/src/reports.cc
@@ -22,14 +22,14 @@
 // none is heard there, a placer, which hears all.
 bool IsAsker(const State& state, const Backend& backend) {
   const std::string& there = backend.server.data_centre;
-  const bool all = state.dispatch.all_place;
+  const bool all = state.dispatch.place_locally;
   const bool here = there == state.options.data_centre;
-  if (!all && !here && !PlacesItself(state)) return false;
+  if (!all && !here && !ReceivesAllActiveRequests(state)) return false;
   const std::uint64_t own = HashBytes(state.options.peer_address, backend.id);
   return std::none_of(
       state.members.begin(), state.members.end(), [&](const auto& it) {
         const auto& [address, member] = it;
-        if (!IsHeard(state, member) || !member.snapshot.serving) return false;
+        if (!IsLive(state, member) || !member.snapshot.serving) return false;
         const bool is_there = member.snapshot.data_centre == there;
         if (!all && !here) {
           return is_there || (IsPlacer(state, address) &&
@@ -43,14 +43,14 @@
 void NoteSigns(State& state, BackendId engine) {
   for (auto& [key, request] : state.requests) {
     if (request.attempt != 0 && request.backend == engine) {
-      request.sign_at = state.now;
+      request.backend_alive_at = state.now;
     }
   }
 }
 
 }  // namespace
 
-void AskReports(State& state) {
+void FetchDueReports(State& state) {
   if (!IsServing(state)) return;
   for (auto& [name, backend] : state.backends) {
     if (backend.report_due > state.now || !TakesWork(backend)) continue;
@@ -59,37 +59,39 @@
     if (!is_engine || !IsAsker(state, backend)) continue;
     // A report is one of the requests that it takes; what it gets by its limit
     // says enough of its pace.
-    if (IsLimited(state, backend.id) || IsResting(state, backend.id)) continue;
-    state.effects.emplace_back(
-        AskReport{.backend = backend.id, .address = backend.server.address});
+    if (IsRateLimited(state, backend.id) || IsBackingOff(state, backend.id))
+      continue;
+    state.effects.emplace_back(FetchEngineReport{
+        .backend = backend.id, .address = backend.server.address});
   }
 }
 
-void OnReport(State& state, const ReportSeen& event) {
+void OnReport(State& state, const EngineReportReceived& event) {
   Backend* backend = FindBackend(state, event.backend);
   if (backend == nullptr) return;
   // An answer of another life that is under way says nothing of this one.
-  if (event.born != 0 && event.born != backend->server.born) {
+  if (event.start_unix_ms != 0 &&
+      event.start_unix_ms != backend->server.start_unix_ms) {
     Log(state, "report_of_another_life",
         {{"backend", backend->server.id},
-         {"born", std::to_string(event.born)},
-         {"known", std::to_string(backend->server.born)}});
+         {"born", std::to_string(event.start_unix_ms)},
+         {"known", std::to_string(backend->server.start_unix_ms)}});
     return;
   }
   NoteSigns(state, event.backend);
   const bool was_slow = backend->slow;
-  backend->slow = event.pace >= kSlowPace;
+  backend->slow = event.slowdown >= kSlowPace;
   if (backend->slow) {
-    AvoidSlow(state, *backend, kSlowFor);
+    AvoidSlowBackend(state, *backend, kSlowFor);
   } else if (was_slow) {
     backend->slow_until = state.now;
-    state.changed = true;
+    state.has_unpublished_changes = true;
   }
   if (backend->slow == was_slow) return;
   Log(state, "pace",
       {{"backend", backend->server.id},
        {"pace_percent",
-        std::to_string(static_cast<std::int64_t>(event.pace * 100))},
+        std::to_string(static_cast<std::int64_t>(event.slowdown * 100))},
        {"slow", backend->slow ? "true" : "false"}});
 }
 
--- a/serving/src/server_limits.cc
+++ b/serving/src/server_limits.cc
@@ -31,46 +31,48 @@
 constexpr Duration kHeardWithin = milliseconds(300);
 
 double RateOf(const KnownLimit& limit) {
-  return std::max(limit.named.per_second.value_or(0), kLeastRate);
+  return std::max(limit.limit.per_second.value_or(0), kLeastRate);
 }
 
 // Nothing: it has no limit.
 KnownLimit* FindLimit(State& state, BackendId life) {
-  return IsLimited(state, life) ? &state.limits.at(life) : nullptr;
+  return IsRateLimited(state, life) ? &state.limits.at(life) : nullptr;
 }
 
 // The part of a server's rate that this daemon may use: it hears what all
 // others send, or knows only how many these are.
 double PartOfRate(const State& state) {
-  return PlacesItself(state) ? 1 : 1 / static_cast<double>(LiveDaemons(state));
+  return ReceivesAllActiveRequests(state)
+             ? 1
+             : 1 / static_cast<double>(LiveDaemons(state));
 }
 
 bool HasStart(State& state, KnownLimit& limit) {
-  limit.meter.SetRate(state.now, RateOf(limit) * PartOfRate(state));
-  return limit.meter.HasStart(state.now);
+  limit.rate_limiter.SetRate(state.now, RateOf(limit) * PartOfRate(state));
+  return limit.rate_limiter.HasToken(state.now);
 }
 
 // Requests at all daemons that wait for a start of that service and go before
 // that one.
-std::size_t AheadOf(const State& state, const Demand& demand) {
-  const Time turn = TurnOf(state, demand);
+std::size_t AheadOf(const State& state, const PlacementDemand& demand) {
+  const Time turn = QueueKeyOf(state, demand);
   std::size_t ahead = 0;
   const auto add = [&](const std::string& service, Time other) {
     if (service == demand.service && other < turn) ++ahead;
   };
   for (const auto& [key, it] : state.requests) {
-    if (AwaitsStart(it)) add(it.service, TurnOf(state, it));
+    if (AwaitsRateLimit(it)) add(it.service, QueueKeyOf(state, it));
   }
-  for (const auto& [key, it] : state.dispatch.asked) {
-    const bool waits = !it.placed && it.waits_for == Shortage::kLimit;
-    if (waits) add(it.question.service, TurnOf(state, it));
+  for (const auto& [key, it] : state.dispatch.remote_placements) {
+    const bool waits = !it.placement && it.waits_for == Shortage::kRateLimit;
+    if (waits) add(it.request.service, QueueKeyOf(state, it));
   }
   for (const auto& [address, member] : state.members) {
     // One that has fallen silent isn't waited for: it tells more often than
     // that while anything waits there.
-    if (state.now - member.heard > kHeardWithin) continue;
-    for (const Waiting& it : member.snapshot.waiting) {
-      if (it.for_start) add(it.service, it.turn);
+    if (state.now - member.received_at > kHeardWithin) continue;
+    for (const WaitingRequest& it : member.snapshot.waiting) {
+      if (it.awaits_rate_limit) add(it.service, it.queue_key);
     }
   }
   return ahead;
@@ -84,13 +86,13 @@
   for (const Backend* it : open) {
     KnownLimit& limit = state.limits.at(it->id);
     rate += RateOf(limit) * PartOfRate(state);
-    first = std::min(first, limit.meter.UntilStart(state.now));
+    first = std::min(first, limit.rate_limiter.TimeUntilToken(state.now));
   }
   const std::chrono::duration<double> line(static_cast<double>(ahead) / rate);
   return first + std::chrono::duration_cast<Duration>(line);
 }
 
-std::vector<BackendId> ServersOf(const Placed& placed) {
+std::vector<BackendId> ServersOf(const Placement& placed) {
   std::vector<BackendId> servers{placed.backend};
   servers.insert(servers.end(), placed.helpers.begin(), placed.helpers.end());
   return servers;
@@ -98,49 +100,51 @@
 
 }  // namespace
 
-std::optional<double> LimitOf(const State& state, BackendId life) {
+std::optional<double> RateLimitOf(const State& state, BackendId life) {
   const auto it = state.limits.find(life);
-  return it == state.limits.end() ? std::nullopt : it->second.named.per_second;
+  return it == state.limits.end() ? std::nullopt : it->second.limit.per_second;
 }
 
-bool IsLimited(const State& state, BackendId life) {
-  return LimitOf(state, life).has_value();
+bool IsRateLimited(const State& state, BackendId life) {
+  return RateLimitOf(state, life).has_value();
 }
 
-bool AnyLimited(const State& state, const std::string& service) {
+bool AnyRateLimited(const State& state, const std::string& service) {
   if (state.limits.empty()) return false;
   return std::any_of(state.backends.begin(), state.backends.end(),
                      [&](const auto& it) {
                        return it.second.server.service == service &&
-                              IsLimited(state, it.second.id);
+                              IsRateLimited(state, it.second.id);
                      });
 }
 
-std::vector<BackendId> KnownLimitsAt(const State& state, const Placed& placed) {
+std::vector<BackendId> KnownRateLimitsAt(const State& state,
+                                         const Placement& placed) {
   auto servers = ServersOf(placed);
   std::erase_if(servers,
                 [&](BackendId it) { return !state.limits.contains(it); });
   return servers;
 }
 
-std::vector<BackendId> UncountedAt(const State& state,
-                                   const PlaceAnswer& answer) {
-  auto servers = ServersOf(answer.placed);
+std::vector<BackendId> UncountedRateLimitsAt(const State& state,
+                                             const PlacementResponse& answer) {
+  auto servers = ServersOf(answer.placement);
   std::erase_if(servers, [&](BackendId it) {
-    const auto& counted = answer.counted;
-    return !IsLimited(state, it) ||
+    const auto& counted = answer.rate_limits_counted;
+    return !IsRateLimited(state, it) ||
            std::find(counted.begin(), counted.end(), it) != counted.end();
   });
   return servers;
 }
 
-void TellLimitsAgain(State& state, const std::vector<BackendId>& lives) {
-  for (const BackendId it : lives) state.limits.at(it).news = true;
-  state.changed = true;
+void RepublishRateLimits(State& state, const std::vector<BackendId>& lives) {
+  for (const BackendId it : lives) state.limits.at(it).unpublished = true;
+  state.has_unpublished_changes = true;
 }
 
-std::vector<const Backend*> Startable(State& state, const Demand& demand,
-                                      const std::vector<const Backend*>& open) {
+std::vector<const Backend*> BackendsWithinRateLimit(
+    State& state, const PlacementDemand& demand,
+    const std::vector<const Backend*>& open) {
   if (state.limits.empty()) return open;
   std::vector<const Backend*> free;
   std::vector<const Backend*> limited;
@@ -154,7 +158,8 @@
   }
   // A long prompt takes all that an engine has, and its helpers get calls too.
   // A daemon that doesn't hear the others knows too little to use them.
-  const bool keep_off = demand.read > kShortRead || !PlacesItself(state);
+  const bool keep_off = demand.prefill_time > kShortPromptPrefillLimit ||
+                        !ReceivesAllActiveRequests(state);
   if (!free.empty() && keep_off) return free;
   // Those that wait for these starts take them first.
   if (!limited.empty() && AheadOf(state, demand) >= limited.size()) return free;
@@ -164,16 +169,16 @@
   return free;
 }
 
-Verdict AwaitStart(State& state, const Demand& demand,
-                   const std::vector<const Backend*>& open) {
+PlacementDecision WaitForRateLimit(State& state, const PlacementDemand& demand,
+                                   const std::vector<const Backend*>& open) {
   const std::size_t ahead = AheadOf(state, demand);
   const Duration expected = ExpectedWait(state, ahead, open);
   const Duration until_due = demand.due - state.now;
   const Duration patience =
-      demand.awaits_start
-          ? demand.deadline - state.now - demand.read
-          : std::max(PartOf(until_due, kPatience), kLeastPatience);
-  if (expected <= patience) return NoRoomNow{Shortage::kLimit};
+      demand.awaits_rate_limit
+          ? demand.deadline - state.now - demand.prefill_time
+          : std::max(FractionOf(until_due, kPatience), kLeastPatience);
+  if (expected <= patience) return NoCapacityNow{Shortage::kRateLimit};
   const Duration again = RetryAfterOf(state, demand, expected);
   Log(state, "limited",
       {{"request", demand.id},
@@ -183,77 +188,81 @@
        {"expected_ms", Millis(expected)},
        {"retry_after_ms", Millis(again)},
        {"waited_ms", Millis(state.now - demand.arrived)}});
-  return GivenUp{.retry_after = again, .of = Shortage::kLimit};
+  return DeadlineUnreachable{.retry_after = again,
+                             .shortage = Shortage::kRateLimit};
 }
 
-void NoteStart(State& state, BackendId life) {
+void RecordStart(State& state, BackendId life) {
   KnownLimit* limit = FindLimit(state, life);
-  if (limit != nullptr) limit->meter.Take(state.now);
+  if (limit != nullptr) limit->rate_limiter.TakeToken(state.now);
 }
 
-void NoteStart(State& state, const Placed& placed) {
-  for (const BackendId it : ServersOf(placed)) NoteStart(state, it);
+void RecordStart(State& state, const Placement& placed) {
+  for (const BackendId it : ServersOf(placed)) RecordStart(state, it);
 }
 
-void NoteStartsOf(State& state, const LoadSnapshot& told,
-                  const std::vector<Work>& known) {
-  if (state.limits.empty() || !PlacesItself(state)) return;
-  for (const Work& it : told.works) {
-    const bool same =
-        std::any_of(known.begin(), known.end(), [&](const Work& other) {
+void RecordPeerStarts(State& state, const LoadSnapshot& told,
+                      const std::vector<ActiveRequest>& known) {
+  if (state.limits.empty() || !ReceivesAllActiveRequests(state)) return;
+  for (const ActiveRequest& it : told.active_requests) {
+    const bool same = std::any_of(
+        known.begin(), known.end(), [&](const ActiveRequest& other) {
           return other.id == it.id && other.backend == it.backend;
         });
     // Counted as it was placed here.
-    const auto asked = state.dispatch.asked.find({told.peer_address, it.id});
-    const bool counted = asked != state.dispatch.asked.end() &&
-                         asked->second.placed &&
-                         asked->second.placed->backend == it.backend;
+    const auto asked =
+        state.dispatch.remote_placements.find({told.peer_address, it.id});
+    const bool counted = asked != state.dispatch.remote_placements.end() &&
+                         asked->second.placement &&
+                         asked->second.placement->backend == it.backend;
     if (same || counted) continue;
-    NoteStart(state, it.backend);
-    for (const BackendId helper : it.helpers) NoteStart(state, helper);
+    RecordStart(state, it.backend);
+    for (const BackendId helper : it.helpers) RecordStart(state, helper);
   }
 }
 
-void TakeLimit(State& state, const ServerLimit& named, bool own) {
+void ApplyRateLimit(State& state, const ServerLimit& named, bool own) {
   const auto found = state.limits.find(named.backend);
   if (found == state.limits.end()) {
     if (!named.per_second) return;
-    KnownLimit limit{.named = named, .meter = StartMeter(state.now)};
-    limit.own = own;
-    limit.news = own;
-    limit.meter.SetRate(state.now, RateOf(limit) * PartOfRate(state));
+    KnownLimit limit{.limit = named,
+                     .rate_limiter = StartRateLimiter(state.now)};
+    limit.received_directly = own;
+    limit.unpublished = own;
+    limit.rate_limiter.SetRate(state.now, RateOf(limit) * PartOfRate(state));
     state.limits[named.backend] = limit;
-    state.changed = true;
+    state.has_unpublished_changes = true;
     return;
   }
   KnownLimit& limit = found->second;
-  if (named.heard < limit.named.heard) return;
-  const bool changed = limit.named.per_second != named.per_second;
+  if (named.received_at < limit.limit.received_at) return;
+  const bool changed = limit.limit.per_second != named.per_second;
   // Named anew after it was over: what was sent meanwhile isn't known.
-  if (!limit.named.per_second) limit.meter = StartMeter(state.now);
-  limit.named = named;
-  limit.own = limit.own || own;
+  if (!limit.limit.per_second) limit.rate_limiter = StartRateLimiter(state.now);
+  limit.limit = named;
+  limit.received_directly = limit.received_directly || own;
   if (!changed) return;
-  limit.news = limit.news || own;
-  limit.meter.SetRate(state.now, RateOf(limit) * PartOfRate(state));
-  state.changed = true;
+  limit.unpublished = limit.unpublished || own;
+  limit.rate_limiter.SetRate(state.now, RateOf(limit) * PartOfRate(state));
+  state.has_unpublished_changes = true;
 }
 
-std::vector<ServerLimit> LimitsToTell(State& state, bool news) {
+std::vector<ServerLimit> RateLimitsToPublish(State& state, bool news) {
   std::vector<ServerLimit> limits;
   for (auto& [life, it] : state.limits) {
-    const bool tells = it.own && state.now - it.named.heard < kTellFor;
-    if (news ? it.news : tells) limits.push_back(it.named);
-    if (news) it.news = false;
+    const bool tells =
+        it.received_directly && state.now - it.limit.received_at < kTellFor;
+    if (news ? it.unpublished : tells) limits.push_back(it.limit);
+    if (news) it.unpublished = false;
   }
   return limits;
 }
 
-void ForgetLimits(State& state) {
+void DropExpiredRateLimits(State& state) {
   std::erase_if(state.limits, [&](const auto& it) {
     const auto& [life, limit] = it;
-    const Duration age = state.now - limit.named.heard;
-    if (!limit.named.per_second) return age > kEndedFor;
+    const Duration age = state.now - limit.limit.received_at;
+    if (!limit.limit.per_second) return age > kEndedFor;
     return age > kForgetAfter && FindBackend(state, life) == nullptr;
   });
 }
--- a/serving/src/server_words.cc
+++ b/serving/src/server_words.cc
@@ -23,130 +23,134 @@
 
 void TakeLimitWord(State& state, const Request& request,
                    std::optional<double> named) {
-  const auto before = LimitOf(state, request.backend);
+  const auto before = RateLimitOf(state, request.backend);
   if (!before && !named) return;
   // Of a request that was sent before the limit was heard, the answer may have
   // been begun before it was named.
   const bool older =
-      !named && request.sent_at <= state.limits.at(request.backend).named.heard;
+      !named &&
+      request.sent_at <= state.limits.at(request.backend).limit.received_at;
   if (older) return;
-  TakeLimit(
-      state,
-      {.backend = request.backend, .per_second = named, .heard = state.now},
-      /*own=*/true);
+  ApplyRateLimit(state,
+                 {.backend = request.backend,
+                  .per_second = named,
+                  .received_at = state.now},
+                 /*own=*/true);
   if (before == named) return;
   const std::string what = !before ? "named" : !named ? "ended" : "changed";
   Log(state, "server_limit",
       {{"backend", request.backend_name},
-       {"life", ContentText(request.backend)},
+       {"life", FingerprintText(request.backend)},
        {"what", what},
        {"per_second", RateText(named)},
        {"before", RateText(before)},
-       {"request", request.facts.id},
+       {"request", request.metadata.id},
        {"sent_ms_ago", Millis(state.now - request.sent_at)}});
 }
 
 void TakeRest(State& state, const Request& request, Duration rest) {
-  Time& until = state.rests[request.backend];
+  Time& until = state.backoffs[request.backend];
   const bool is_new = until <= state.now;
   until = std::max(until, state.now + rest);
   Log(state, "server_rest",
       {{"backend", request.backend_name},
-       {"life", ContentText(request.backend)},
+       {"life", FingerprintText(request.backend)},
        {"what", is_new ? "asked" : "renewed"},
        {"for_ms", Millis(until - state.now)},
-       {"request", request.facts.id}});
+       {"request", request.metadata.id}});
   Backend* backend = FindBackend(state, request.backend);
   if (backend == nullptr) return;
-  AvoidResting(state, *backend, std::min(rest, kLongestAvoided));
+  ApplyBackoff(state, *backend, std::min(rest, kLongestAvoided));
 }
 
 }  // namespace
 
-void OnAnswerBegun(State& state, const AnswerBegun& event) {
+void OnResponseHead(State& state, const ResponseHeadReceived& event) {
   const auto found = state.attempts.find(event.attempt);
   if (found == state.attempts.end()) return;
   const Request& request = state.requests.at(found->second);
-  const ServerWord& word = event.word;
-  if (word.limit || !event.limit_unknown) {
-    TakeLimitWord(state, request, word.limit);
+  const ServerSignals& word = event.signals;
+  if (word.rate_limit || !event.rate_limit_unreadable) {
+    TakeLimitWord(state, request, word.rate_limit);
   }
   if (word.leaving) {
-    TakeLeaving(state, request.backend, request.facts.id, /*own=*/true);
+    ApplyLeaving(state, request.backend, request.metadata.id, /*own=*/true);
   }
-  if (word.rest > Duration::zero()) TakeRest(state, request, word.rest);
+  if (word.backoff > Duration::zero()) TakeRest(state, request, word.backoff);
 }
 
-void TakeLeaving(State& state, BackendId life, const std::string& request,
-                 bool own) {
+void ApplyLeaving(State& state, BackendId life, const std::string& request,
+                  bool own) {
   const auto [known, is_new] = state.leaving.try_emplace(
-      life, KnownLeaving{.heard = state.now, .news = own});
+      life, KnownLeaving{.received_at = state.now, .unpublished = own});
   if (!is_new) return;
-  state.changed = true;
+  state.has_unpublished_changes = true;
   const Backend* backend = FindBackend(state, life);
   Log(state, "server_leaving",
       {{"backend", backend == nullptr ? "" : backend->server.id},
-       {"life", ContentText(life)},
+       {"life", FingerprintText(life)},
        {"heard_of", own ? "itself" : "peer"},
        {"request", request}});
-  NoteGone(state, life, own ? "its answer" : "a daemon that it answered");
+  RecordBackendGone(state, life,
+                    own ? "its answer" : "a daemon that it answered");
 }
 
-bool IsResting(const State& state, BackendId life) {
-  const auto it = state.rests.find(life);
-  return it != state.rests.end() && it->second > state.now;
+bool IsBackingOff(const State& state, BackendId life) {
+  const auto it = state.backoffs.find(life);
+  return it != state.backoffs.end() && it->second > state.now;
 }
 
-std::set<BackendId> RestingServers(const State& state) {
+std::set<BackendId> ServersBackingOff(const State& state) {
   std::set<BackendId> resting;
-  for (const auto& [life, until] : state.rests) {
+  for (const auto& [life, until] : state.backoffs) {
     if (until > state.now) resting.insert(life);
   }
   return resting;
 }
 
-bool RefusedForRest(State& state, Request& request,
-                    const std::vector<const Backend*>& open) {
+bool RefuseIfAllBackingOff(State& state, Request& request,
+                           const std::vector<const Backend*>& open) {
   Time first = Time::max();
   for (const Backend* it : open) {
-    if (!IsResting(state, it->id)) return false;
-    first = std::min(first, state.rests.at(it->id));
+    if (!IsBackingOff(state, it->id)) return false;
+    first = std::min(first, state.backoffs.at(it->id));
   }
   if (open.empty()) return false;
   Log(state, "all_rest",
-      {{"request", request.facts.id},
+      {{"request", request.metadata.id},
        {"service", request.service},
        {"servers", std::to_string(open.size())},
        {"left_ms", Millis(first - state.now)}});
-  RefuseRequest(state, request, Refusal::kResting, first - state.now);
+  RefuseRequest(state, request, Refusal::kBackendsBackingOff,
+                first - state.now);
   return true;
 }
 
-void ForgetRests(State& state) {
-  std::erase_if(state.rests, [&](const auto& it) {
+void DropExpiredBackoffs(State& state) {
+  std::erase_if(state.backoffs, [&](const auto& it) {
     if (it.second > state.now) return false;
     const Backend* backend = FindBackend(state, it.first);
     Log(state, "server_rest",
         {{"backend", backend == nullptr ? "" : backend->server.id},
-         {"life", ContentText(it.first)},
+         {"life", FingerprintText(it.first)},
          {"what", "over"}});
     return true;
   });
 }
 
-std::vector<BackendId> LeavingToTell(State& state, bool news) {
+std::vector<BackendId> LeavingToPublish(State& state, bool news) {
   std::vector<BackendId> leaving;
   for (auto& [life, it] : state.leaving) {
-    const bool tells = state.now - it.heard < kTellFor;
-    if (news ? it.news : tells) leaving.push_back(life);
-    if (news) it.news = false;
+    const bool tells = state.now - it.received_at < kTellFor;
+    if (news ? it.unpublished : tells) leaving.push_back(life);
+    if (news) it.unpublished = false;
   }
   return leaving;
 }
 
-void ForgetLeaving(State& state) {
+void DropExpiredLeaving(State& state) {
   std::erase_if(state.leaving, [&](const auto& it) {
-    return state.now - it.second.heard > kForgetAfter &&
+    return state.now - it.second.received_at > kForgetAfter &&
            FindBackend(state, it.first) == nullptr;
   });
 }
--- a/serving/src/slack_share.cc
+++ b/serving/src/slack_share.cc
@@ -13,39 +13,41 @@
 
 }  // namespace
 
-void SlackShare::EntryHeld(Time now, Time until, bool anew) {
+void SlackShare::OnEntryConfirmed(Time now, Time until, bool anew) {
   if (anew) entry_since_ = now;
   entry_until_ = until;
 }
 
-void SlackShare::EntryForgotten(Time now) {
+void SlackShare::OnEntryLost(Time now) {
   entry_until_ = std::min(entry_until_, now + kCountWithin);
 }
 
-void SlackShare::NoteDaemons(Time now, std::size_t daemons) {
-  while (!numbers_.empty() && numbers_.back().second <= daemons) {
-    numbers_.pop_back();
+void SlackShare::RecordDaemonCount(Time now, std::size_t daemons) {
+  while (!daemon_counts_.empty() && daemon_counts_.back().second <= daemons) {
+    daemon_counts_.pop_back();
   }
-  numbers_.emplace_back(now, daemons);
+  daemon_counts_.emplace_back(now, daemons);
   const Time from = now - window_ - kCountWithin;
-  while (numbers_.front().first < from) numbers_.pop_front();
+  while (daemon_counts_.front().first < from) daemon_counts_.pop_front();
 }
 
 ShareState SlackShare::StateAt(Time now) const {
   if (now >= entry_until_) return ShareState::kNoEntry;
-  if (now < entry_since_ + window_ + kCountWithin) return ShareState::kYoung;
-  if (now > counted_at_ + kCountWithin) return ShareState::kCountOld;
+  if (now < entry_since_ + window_ + kCountWithin)
+    return ShareState::kTooRecent;
+  if (now > counted_at_ + kCountWithin) return ShareState::kCountStale;
   return ShareState::kHeld;
 }
 
-double SlackShare::PartAt(Time now) const {
+double SlackShare::FractionAt(Time now) const {
   if (StateAt(now) != ShareState::kHeld) return 0;
   return 1.0 / static_cast<double>(daemons());
 }
 
 std::size_t SlackShare::daemons() const {
-  return numbers_.empty() ? 1
-                          : std::max<std::size_t>(numbers_.front().second, 1);
+  return daemon_counts_.empty()
+             ? 1
+             : std::max<std::size_t>(daemon_counts_.front().second, 1);
 }
 
 }  // namespace scaleshed::serving
--- a/serving/src/snapshots.cc
+++ b/serving/src/snapshots.cc
@@ -33,22 +33,23 @@
   LoadSnapshot snapshot{.instance = state.options.instance,
                         .peer_address = state.options.peer_address,
                         .data_centre = state.options.data_centre,
-                        .life = state.options.life,
-                        .sequence = ++state.sequence,
+                        .incarnation = state.options.incarnation,
+                        .sequence = ++state.snapshot_sequence,
                         .serving = IsServing(state),
-                        .asks_store = ReachesStore(state),
+                        .polls_store = ReachesStore(state),
                         .is_hub = state.dispatch.is_hub,
                         .places = PlacesForOthers(state),
                         .capacity = state.options.capacity,
                         .configuration = StampOf(state),
-                        .era = state.store.era.number,
-                        .unsettled_for = UnsettledFor(state)};
-  snapshot.endings = state.quarantine.News(state.now, /*latest=*/partial);
-  snapshot.asked = AskedContents(state);
-  snapshot.limits = LimitsToTell(state, /*news=*/partial);
-  snapshot.leaving = LeavingToTell(state, /*news=*/partial);
+                        .epoch = state.store.epoch.number,
+                        .reconciling_for = ReconcilingFor(state)};
+  snapshot.crashes =
+      state.quarantine.RecentCrashes(state.now, /*latest=*/partial);
+  snapshot.crash_checks = FingerprintsUnderCheck(state);
+  snapshot.limits = RateLimitsToPublish(state, /*news=*/partial);
+  snapshot.leaving = LeavingToPublish(state, /*news=*/partial);
   // A placer's line is its own.
-  if (state.dispatch.all_place) snapshot.waiting = WaitingOf(state);
+  if (state.dispatch.place_locally) snapshot.waiting = WaitingOf(state);
   for (const auto& [name, backend] : state.backends) {
     if (backend.avoided_until() > state.now) {
       snapshot.suspicions.push_back(
@@ -60,33 +61,35 @@
   return snapshot;
 }
 
-ToldHeader HeaderOf(const LoadSnapshot& snapshot) {
+PublishedHeader HeaderOf(const LoadSnapshot& snapshot) {
   return {.serving = snapshot.serving,
-          .asks_store = snapshot.asks_store,
+          .polls_store = snapshot.polls_store,
           .is_hub = snapshot.is_hub,
           .places = snapshot.places,
           .configuration = snapshot.configuration,
-          .era = snapshot.era,
-          .settled = snapshot.unsettled_for == Duration::zero()};
+          .epoch = snapshot.epoch,
+          .reconciled = snapshot.reconciling_for == Duration::zero()};
 }
 
 // Notes what the others are told, and puts what is new of it into `snapshot`.
 void TellWorks(State& state, LoadSnapshot& snapshot) {
-  snapshot.partial = true;
+  snapshot.incremental = true;
   for (const auto& [key, request] : state.requests) {
     if (request.phase == Phase::kWaiting) continue;
-    const auto told = state.told_works.find(request.work.id);
-    if (told != state.told_works.end() && told->second == request.work) {
+    const auto told = state.published_requests.find(request.active_request.id);
+    if (told != state.published_requests.end() &&
+        told->second == request.active_request) {
       continue;
     }
-    snapshot.works.push_back(request.work);
-    state.told_works[request.work.id] = request.work;
+    snapshot.active_requests.push_back(request.active_request);
+    state.published_requests[request.active_request.id] =
+        request.active_request;
   }
-  std::erase_if(state.told_works, [&](const auto& it) {
+  std::erase_if(state.published_requests, [&](const auto& it) {
     const auto found = state.requests.find(it.first);
     const bool over =
         found == state.requests.end() || found->second.phase == Phase::kWaiting;
-    if (over) snapshot.ended.push_back(it.first);
+    if (over) snapshot.finished_ids.push_back(it.first);
     return over;
   });
 }
@@ -94,39 +97,45 @@
 // Between two whole snapshots to that daemon.
 Duration WholePause(const State& state, const std::string& peer_address) {
   // Those of other data centres don't tell a hub that they live.
-  if (!TellsUs(state, peer_address)) return kWholeEvery;
+  if (!SendsUsHeartbeats(state, peer_address)) return kWholeEvery;
   const auto member = state.members.find(peer_address);
-  if (member == state.members.end() || !IsHeard(state, member->second)) {
+  if (member == state.members.end() || !IsLive(state, member->second)) {
     return kWholeToSilent;
   }
-  return state.store.askers.contains(peer_address) ? kWholeToAsker
-                                                   : kWholeEvery;
+  return state.store.pollers.contains(peer_address) ? kWholeToAsker
+                                                    : kWholeEvery;
 }
 
 // Until the next whole snapshot to that daemon; `first`: to tell it the first.
 Duration NextPause(State& state, const std::string& peer, bool first) {
-  if (first) return Drawn(state, IsYoung(state) ? kFirstWhole : kWholeEvery);
+  if (first)
+    return RandomDuration(state,
+                          IsWarmingUp(state) ? kFirstWhole : kWholeEvery);
   const Duration pause = WholePause(state, peer);
   // After first ones that were told close together the moments differ again.
-  return IsYoung(state) ? Drawn(state, pause) : pause;
+  return IsWarmingUp(state) ? RandomDuration(state, pause) : pause;
 }
 
 void Apply(const LoadSnapshot& partial, LoadSnapshot& known) {
   LoadSnapshot next = partial;
-  next.partial = false;
+  next.incremental = false;
   next.instance = known.instance;
   next.data_centre = known.data_centre;
   next.capacity = known.capacity;
-  next.ended.clear();
-  next.works = std::move(known.works);
-  std::erase_if(next.works, [&](const Work& it) {
-    const auto same = [&](const Work& other) { return other.id == it.id; };
-    return std::find(partial.ended.begin(), partial.ended.end(), it.id) !=
-               partial.ended.end() ||
-           std::any_of(partial.works.begin(), partial.works.end(), same);
+  next.finished_ids.clear();
+  next.active_requests = std::move(known.active_requests);
+  std::erase_if(next.active_requests, [&](const ActiveRequest& it) {
+    const auto same = [&](const ActiveRequest& other) {
+      return other.id == it.id;
+    };
+    return std::find(partial.finished_ids.begin(), partial.finished_ids.end(),
+                     it.id) != partial.finished_ids.end() ||
+           std::any_of(partial.active_requests.begin(),
+                       partial.active_requests.end(), same);
   });
-  next.works.insert(next.works.end(), partial.works.begin(),
-                    partial.works.end());
+  next.active_requests.insert(next.active_requests.end(),
+                              partial.active_requests.begin(),
+                              partial.active_requests.end());
   known = std::move(next);
 }
 
@@ -136,124 +145,130 @@
   const LoadSnapshot& snapshot = event.snapshot;
   if (snapshot.peer_address == state.options.peer_address) return;
   // These hold whatever else it says, and however late.
-  TakeEndings(state, snapshot.endings);
-  HearRestore(state, snapshot);
+  ApplyCrashes(state, snapshot.crashes);
+  ApplyPeerRestore(state, snapshot);
   const auto known = state.members.find(snapshot.peer_address);
-  const bool same_life = known != state.members.end() &&
-                         known->second.snapshot.life == snapshot.life;
+  const bool same_life =
+      known != state.members.end() &&
+      known->second.snapshot.incarnation == snapshot.incarnation;
   // A part of nothing says too little.
-  if (snapshot.partial && !same_life) return;
+  if (snapshot.incremental && !same_life) return;
   Member& member = state.members[snapshot.peer_address];
   const LoadSnapshot& last = member.snapshot;
-  const bool newer = snapshot.life > last.life ||
+  const bool newer = snapshot.incarnation > last.incarnation ||
                      (same_life && snapshot.sequence > last.sequence);
   if (!newer) return;
-  if (!IsHeard(state, member) || last.serving != snapshot.serving) {
+  if (!IsLive(state, member) || last.serving != snapshot.serving) {
     Log(state, "member",
         {{"peer", snapshot.peer_address},
          {"serving", snapshot.serving ? "true" : "false"},
-         {"life", std::to_string(snapshot.life)}});
+         {"life", std::to_string(snapshot.incarnation)}});
   }
   // One that begins to place knows nothing of what was told to others.
   const bool begins = snapshot.places && !(same_life && last.places);
   // One that has just started asks nobody before it hears who places, and
   // proves nothing before it hears of restores.
   const bool starts =
-      !same_life && (state.dispatch.is_hub || state.dispatch.all_place);
-  if (begins || starts) state.whole_due[snapshot.peer_address] = state.now;
+      !same_life && (state.dispatch.is_hub || state.dispatch.place_locally);
+  if (begins || starts)
+    state.full_snapshot_due[snapshot.peer_address] = state.now;
   for (const ServerLimit& it : snapshot.limits) {
-    TakeLimit(state, it, /*own=*/false);
+    ApplyRateLimit(state, it, /*own=*/false);
   }
   for (const BackendId it : snapshot.leaving) {
-    TakeLeaving(state, it, /*request=*/"", /*own=*/false);
+    ApplyLeaving(state, it, /*request=*/"", /*own=*/false);
   }
-  const std::vector<Work> none;
-  NoteStartsOf(state, snapshot, same_life ? last.works : none);
-  if (snapshot.partial) {
+  const std::vector<ActiveRequest> none;
+  RecordPeerStarts(state, snapshot, same_life ? last.active_requests : none);
+  if (snapshot.incremental) {
     Apply(snapshot, member.snapshot);
   } else {
     member.snapshot = snapshot;
   }
-  member.heard = state.now;
-  TakeFirstProof(state);
-  for (const Suspicion& it : snapshot.suspicions) Doubt(state, it);
-  if (!PlacesItself(state)) {
+  member.received_at = state.now;
+  ApplyFirstConfirmation(state);
+  for (const Suspicion& it : snapshot.suspicions) ApplySuspicion(state, it);
+  if (!ReceivesAllActiveRequests(state)) {
     // Nobody tells it when these end.
-    member.snapshot.works.clear();
+    member.snapshot.active_requests.clear();
     return;
   }
-  ForgetTold(state, snapshot);
-  StartWaiting(state);
+  DropPublishedPlacements(state, snapshot);
+  StartWaitingRequests(state);
 }
 
-void PublishChanges(State& state) {
-  const bool heartbeat = state.dispatch.all_place &&
+void PublishIncrementalSnapshot(State& state) {
+  const bool heartbeat = state.dispatch.place_locally &&
                          state.now - state.published_at >= kBusyHeartbeat &&
                          AnyWaits(state);
-  if (!state.changed && !heartbeat) return;
-  state.changed = false;
+  if (!state.has_unpublished_changes && !heartbeat) return;
+  state.has_unpublished_changes = false;
   state.published_at = state.now;
   PublishSnapshot effect{.to = {},
                          .snapshot = OwnSnapshot(state, /*partial=*/true)};
   TellWorks(state, effect.snapshot);
-  const ToldHeader header = HeaderOf(effect.snapshot);
-  const bool news_of_endings = std::exchange(state.endings_news, false);
+  const PublishedHeader header = HeaderOf(effect.snapshot);
+  const bool news_of_endings =
+      std::exchange(state.has_unpublished_crashes, false);
   const bool all_hear =
-      std::exchange(state.told_header, header) != header || news_of_endings;
+      std::exchange(state.published_header, header) != header ||
+      news_of_endings;
   const bool suspects =
-      std::exchange(state.told_suspicions, effect.snapshot.suspicions) !=
+      std::exchange(state.published_suspicions, effect.snapshot.suspicions) !=
       effect.snapshot.suspicions;
-  const bool asks = std::exchange(state.told_asked, effect.snapshot.asked) !=
-                    effect.snapshot.asked;
-  const bool news =
-      all_hear || suspects || asks || !effect.snapshot.limits.empty() ||
-      !effect.snapshot.leaving.empty() || !effect.snapshot.works.empty() ||
-      !effect.snapshot.ended.empty();
-  if (!news && !state.dispatch.all_place) return;
+  const bool asks = std::exchange(state.published_crash_checks,
+                                  effect.snapshot.crash_checks) !=
+                    effect.snapshot.crash_checks;
+  const bool news = all_hear || suspects || asks ||
+                    !effect.snapshot.limits.empty() ||
+                    !effect.snapshot.leaving.empty() ||
+                    !effect.snapshot.active_requests.empty() ||
+                    !effect.snapshot.finished_ids.empty();
+  if (!news && !state.dispatch.place_locally) return;
   for (const auto& [address, member] : state.members) {
-    const bool hears =
-        all_hear ? HearsAlive(state, address) : HearsWorks(state, address);
-    if (hears && IsHeard(state, member)) effect.to.push_back(address);
+    const bool hears = all_hear ? ReceivesHeartbeats(state, address)
+                                : ReceivesActiveRequests(state, address);
+    if (hears && IsLive(state, member)) effect.to.push_back(address);
   }
-  NoteSnapshotSent(state);
+  RecordSnapshotSent(state);
   if (!effect.to.empty()) state.effects.emplace_back(std::move(effect));
 }
 
-void PublishWhole(State& state) {
+void PublishFullSnapshots(State& state) {
   std::set<std::string> peers;
   for (const auto& [address, data_centre] : state.listed_peers) {
-    if (HearsAlive(state, address)) peers.insert(address);
+    if (ReceivesHeartbeats(state, address)) peers.insert(address);
   }
   for (const auto& [address, member] : state.members) {
-    if (HearsAlive(state, address)) peers.insert(address);
+    if (ReceivesHeartbeats(state, address)) peers.insert(address);
   }
-  std::erase_if(state.whole_due,
+  std::erase_if(state.full_snapshot_due,
                 [&](const auto& it) { return !peers.contains(it.first); });
   PublishSnapshot effect;
   PublishSnapshot with_works;
   for (const std::string& it : peers) {
-    Time& due = state.whole_due[it];
+    Time& due = state.full_snapshot_due[it];
     if (due > state.now) continue;
     // The first pause is drawn, so that the moments differ from then on.
     const bool first = due == Time{};
     due = state.now + NextPause(state, it, first);
-    (HearsWorks(state, it) ? with_works : effect).to.push_back(it);
+    (ReceivesActiveRequests(state, it) ? with_works : effect).to.push_back(it);
   }
   if (effect.to.empty() && with_works.to.empty()) return;
   effect.snapshot = OwnSnapshot(state, /*partial=*/false);
   with_works.snapshot = effect.snapshot;
   // A placer is told of a limit when it is named, and again where it places as
   // if it didn't know.
-  if (!state.dispatch.all_place) with_works.snapshot.limits.clear();
+  if (!state.dispatch.place_locally) with_works.snapshot.limits.clear();
   // Only those that hear of works go by these.
   effect.snapshot.limits.clear();
   effect.snapshot.leaving.clear();
   for (const auto& [key, request] : state.requests) {
     if (request.phase != Phase::kWaiting) {
-      with_works.snapshot.works.push_back(request.work);
+      with_works.snapshot.active_requests.push_back(request.active_request);
     }
   }
-  NoteSnapshotSent(state);
+  RecordSnapshotSent(state);
   for (PublishSnapshot* it : {&with_works, &effect}) {
     if (!it->to.empty()) state.effects.emplace_back(std::move(*it));
   }
--- a/serving/src/start_meter.cc
+++ b/serving/src/start_meter.cc
@@ -17,28 +17,28 @@
 
 }  // namespace
 
-void StartMeter::SetRate(Time now, double per_second) {
-  starts_ = StartsAt(now);
-  at_ = now;
+void StartRateLimiter::SetRate(Time now, double per_second) {
+  tokens_ = TokensAt(now);
+  updated_at_ = now;
   per_second_ = per_second;
 }
 
-void StartMeter::Take(Time now) {
+void StartRateLimiter::TakeToken(Time now) {
   const double least = -std::max(kOwedSeconds * per_second_, 1.0);
-  starts_ = std::max(StartsAt(now) - 1, least);
-  at_ = now;
+  tokens_ = std::max(TokensAt(now) - 1, least);
+  updated_at_ = now;
 }
 
-Duration StartMeter::UntilStart(Time now) const {
-  const double missing = 1 - StartsAt(now);
+Duration StartRateLimiter::TimeUntilToken(Time now) const {
+  const double missing = 1 - TokensAt(now);
   if (missing <= 0) return Duration::zero();
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(missing / per_second_));
 }
 
-double StartMeter::StartsAt(Time now) const {
+double StartRateLimiter::TokensAt(Time now) const {
   const double most = std::max(kSavedSeconds * per_second_, 1.0);
-  return std::min(starts_ + per_second_ * SecondsOf(now - at_), most);
+  return std::min(tokens_ + per_second_ * SecondsOf(now - updated_at_), most);
 }
 
 }  // namespace scaleshed::serving
--- a/serving/src/starting.cc
+++ b/serving/src/starting.cc
@@ -41,37 +41,37 @@
   // Setting memory aside took a while; a helper that leaves would refuse its
   // part, and the prompt with it.
   std::vector<const Backend*> helpers;
-  for (const BackendId it : request.work.helpers) {
+  for (const BackendId it : request.active_request.helpers) {
     helpers.push_back(FindBackend(state, it));
   }
   const auto takes = [&](const Backend* it) {
-    return it != nullptr && TakesWork(*it) && !IsResting(state, it->id);
+    return it != nullptr && TakesWork(*it) && !IsBackingOff(state, it->id);
   };
   const bool helped = std::all_of(helpers.begin(), helpers.end(), takes);
-  if (!takes(backend) || !helped || !KnowsBackends(state)) {
+  if (!takes(backend) || !helped || !AreBackendsUsable(state)) {
     // Whoever placed it may not know yet that this one leaves, or wants rest.
-    if (!takes(backend)) request.tried.insert(request.backend);
+    if (!takes(backend)) request.excluded.insert(request.backend);
     Requeue(state, request, kLookAgain);
     return;
   }
-  if (RefusedForEndings(state, request)) return;
+  if (RefuseIfQuarantined(state, request)) return;
   // Whoever placed it may not know yet what is being asked.
-  if (AwaitsVerdict(state, request.facts.content)) {
+  if (AwaitsCrashCheck(state, request.metadata.fingerprint)) {
     Requeue(state, request, kLookAgain);
     return;
   }
-  if (!TakeRepeat(state, request)) {
+  if (!CommitRetry(state, request)) {
     // Room that was set aside is gone where requests have become fewer, or this
     // daemon has lost its part of the slack.
     RefuseRequest(state, request,
                   request.may_have_run ? Refusal::kUnknown : Refusal::kNotRun,
-                  kAfterRefusals);
+                  kRetryAfterDeclined);
     return;
   }
   request.phase = Phase::kRunning;
   request.sent_at = state.now;
-  request.sign_at = state.now;
-  ++request.runs;
+  request.backend_alive_at = state.now;
+  ++request.possible_runs;
   StartAttempt effect{.attempt = request.attempt,
                       .key = request.key,
                       .address = backend->server.address,
@@ -79,46 +79,49 @@
                       .account = request.account,
                       .time_left = request.deadline - state.now,
                       .stream = IsStream(request.route.kind)};
-  if (request.begun) effect.resume_after = request.last_event_id;
+  if (request.response_started) effect.resume_after = request.last_event_id;
   std::string names;
   for (std::size_t i = 0; i < helpers.size(); ++i) {
     const BackendServer& helper = helpers[i]->server;
     const std::string ticket =
-        i < request.memory.size() ? request.memory[i].ticket : "";
-    effect.helpers.push_back({.address = helper.address, .ticket = ticket});
+        i < request.memory_reservations.size()
+            ? request.memory_reservations[i].reservation_id
+            : "";
+    effect.helpers.push_back(
+        {.address = helper.address, .reservation_id = ticket});
     names += (names.empty() ? "" : ",") + helper.id;
   }
-  state.effects.emplace_back(Count{Counter::kSends});
+  state.effects.emplace_back(IncrementCounter{Counter::kSends});
   if (!effect.helpers.empty()) {
-    state.effects.emplace_back(Count{Counter::kHelped});
+    state.effects.emplace_back(IncrementCounter{Counter::kHelped});
   }
   Log(state, "sent",
-      {{"request", request.facts.id},
-       {"content", ContentText(request.facts.content)},
+      {{"request", request.metadata.id},
+       {"content", FingerprintText(request.metadata.fingerprint)},
        {"attempt", std::to_string(request.attempt)},
        {"backend", backend->server.id},
        {"address", backend->server.address},
        {"helpers", std::to_string(effect.helpers.size())},
        {"helped_by", names},
-       {"prompt", std::to_string(request.facts.prompt_tokens)},
+       {"prompt", std::to_string(request.metadata.prompt_tokens)},
        {"waited_ms", Millis(state.now - request.arrived)},
-       {"expected_ms", Millis(request.expected_first)},
+       {"expected_ms", Millis(request.expected_time_to_first_token)},
        {"time_left_ms", Millis(effect.time_left)},
        {"version", std::to_string(StampOf(state).version)},
        {"revision", std::to_string(StampOf(state).revision.number)},
        {"confirmed_ms_ago", Millis(state.now - state.confirmed_at)},
        {"listed_ms_ago", Millis(state.now - state.store.backends_confirmed_at)},
        {"resume_after", effect.resume_after}},
-      /*routine=*/request.arrivals + request.refusals == 0);
+      /*routine=*/request.delivered_sends + request.declined_sends == 0);
   state.effects.emplace_back(std::move(effect));
 }
 
-void Reserve(State& state, Request& request, const Placed& placed) {
+void Reserve(State& state, Request& request, const Placement& placed) {
   request.phase = Phase::kReserving;
-  request.progress_by = state.now + kReserveWithin;
-  request.memory.assign(placed.helpers.size(), {});
+  request.progress_deadline = state.now + kReserveWithin;
+  request.memory_reservations.assign(placed.helpers.size(), {});
   for (std::size_t i = 0; i < placed.helpers.size(); ++i) {
-    Memory& memory = request.memory[i];
+    MemoryReservation& memory = request.memory_reservations[i];
     memory.tokens = placed.helper_tokens[i];
     const Backend* helper = FindBackend(state, placed.helpers[i]);
     if (memory.tokens == 0 || helper == nullptr) {
@@ -126,20 +129,22 @@
       continue;
     }
     memory.address = helper->server.address;
-    memory.ticket = std::to_string(state.options.life) + "-" +
-                    std::to_string(request.attempt) + "-" + std::to_string(i);
+    memory.reservation_id = std::to_string(state.options.incarnation) + "-" +
+                            std::to_string(request.attempt) + "-" +
+                            std::to_string(i);
     memory.renew_at = state.now + kRenewAfter;
-    state.effects.emplace_back(Count{Counter::kTickets});
-    state.effects.emplace_back(ReserveMemory{.attempt = request.attempt,
-                                             .index = i,
-                                             .address = memory.address,
-                                             .ticket = memory.ticket,
-                                             .tokens = memory.tokens,
-                                             .hold = kHold});
+    state.effects.emplace_back(IncrementCounter{Counter::kMemoryReservations});
+    state.effects.emplace_back(
+        ReserveMemory{.attempt = request.attempt,
+                      .helper_index = i,
+                      .address = memory.address,
+                      .reservation_id = memory.reservation_id,
+                      .tokens = memory.tokens,
+                      .lease_duration = kHold});
   }
 }
 
-Duration ProgressWithin(const Request& request, const Placed& placed) {
+Duration ProgressWithin(const Request& request, const Placement& placed) {
   if (request.route.kind == RequestKind::kRepeatable) {
     return std::max(kHangObjectives * request.route.objective, kLeastHang);
   }
@@ -150,27 +155,28 @@
 
 }  // namespace
 
-void Start(State& state, Request& request, const Placed& placed) {
-  request.attempt = ++state.last_id;
-  ++request.round;
+void StartPlacedAttempt(State& state, Request& request,
+                        const Placement& placed) {
+  request.attempt = ++state.last_attempt_id;
+  ++request.attempt_number;
   request.placer.clear();
   state.attempts[request.attempt] = request.key;
   request.backend = placed.backend;
   const Backend* backend = FindBackend(state, placed.backend);
   request.backend_name = backend == nullptr ? "" : backend->server.id;
-  request.work = {.id = request.key,
-                  .backend = placed.backend,
-                  .helpers = placed.helpers,
-                  .prompt_tokens = request.facts.prompt_tokens,
-                  .answer_tokens = request.facts.answer_tokens,
-                  .started = state.now,
-                  .writing = false,
-                  .longest_pause = request.route.longest_pause,
-                  .helper_tokens = placed.helper_tokens,
-                  .content = request.facts.content};
-  request.expected_first = placed.first_token;
-  NoteStart(state, placed);
-  state.changed = true;
+  request.active_request = {.id = request.key,
+                            .backend = placed.backend,
+                            .helpers = placed.helpers,
+                            .prompt_tokens = request.metadata.prompt_tokens,
+                            .answer_tokens = request.metadata.answer_tokens,
+                            .started_at = state.now,
+                            .decoding = false,
+                            .max_event_gap = request.route.max_event_gap,
+                            .helper_tokens = placed.helper_tokens,
+                            .fingerprint = request.metadata.fingerprint};
+  request.expected_time_to_first_token = placed.first_token;
+  RecordStart(state, placed);
+  state.has_unpublished_changes = true;
   const bool tickets =
       std::any_of(placed.helper_tokens.begin(), placed.helper_tokens.end(),
                   [](std::int64_t it) { return it > 0; });
@@ -178,26 +184,26 @@
     Reserve(state, request, placed);
     return;
   }
-  request.memory.clear();
-  request.progress_by = state.now + ProgressWithin(request, placed);
+  request.memory_reservations.clear();
+  request.progress_deadline = state.now + ProgressWithin(request, placed);
   Send(state, request);
 }
 
-void Wait(State& state, Request& request, Duration pause, Shortage of) {
+void QueueRequest(State& state, Request& request, Duration pause, Shortage of) {
   // That it goes on waiting is no news: the others are told of what changed
   // alone, each look at a full pool would be one more message to all of them.
   const bool news = request.phase != Phase::kWaiting || request.waits_for != of;
   if (request.waits_for != of) {
     request.waits_for = of;
     Log(state, "waits",
-        {{"request", request.facts.id},
+        {{"request", request.metadata.id},
          {"for", std::string(NameIn(kShortageNames, of))},
-         {"prompt", std::to_string(request.facts.prompt_tokens)},
+         {"prompt", std::to_string(request.metadata.prompt_tokens)},
          {"after_ms", Millis(state.now - request.arrived)}});
   }
   request.phase = Phase::kWaiting;
   request.retry_at = state.now + pause;
-  state.changed = state.changed || news;
+  state.has_unpublished_changes = state.has_unpublished_changes || news;
 }
 
 void TryStart(State& state, Request& request) {
@@ -206,60 +212,63 @@
     RefuseRequest(state, request, Refusal::kTimeLimit, kLookAgain);
     return;
   }
-  if (!KnowsBackends(state)) {
-    Wait(state, request, kLookAgain, Shortage::kProof);
+  if (!AreBackendsUsable(state)) {
+    QueueRequest(state, request, kLookAgain, Shortage::kFreshness);
     return;
   }
-  if (RefusedForEndings(state, request)) return;
-  if (AwaitsSign(state, request.facts.content) ||
-      AwaitsVerdict(state, request.facts.content)) {
-    Wait(state, request, kLookAgain, Shortage::kVerdict);
+  if (RefuseIfQuarantined(state, request)) return;
+  if (AwaitsLivenessSignal(state, request.metadata.fingerprint) ||
+      AwaitsCrashCheck(state, request.metadata.fingerprint)) {
+    QueueRequest(state, request, kLookAgain, Shortage::kCrashCheck);
     return;
   }
   // After waiting and failing the configuration may be another one; the
   // backend servers of the chosen service are still those that may run it.
   const auto open = OpenBackends(state, request.service);
-  if (open.empty() || request.refusals > kMostRefusals) {
+  if (open.empty() || request.declined_sends > kMostRefusals) {
     const Duration again = milliseconds(200);
     RefuseRequest(state, request,
                   open.empty() ? Refusal::kNoBackend : Refusal::kNotRun, again);
     return;
   }
-  if (RefusedForRest(state, request, open)) return;
+  if (RefuseIfAllBackingOff(state, request, open)) return;
   // Of plain requests, a placer is asked for those that are to be counted over
   // all daemons.
   const bool one_for_all = TimingOf(state, request.service) != nullptr ||
-                           AnyLimited(state, request.service);
-  if (one_for_all && !PlacesItself(state)) {
-    AskPlace(state, request);
+                           AnyRateLimited(state, request.service);
+  if (one_for_all && !ReceivesAllActiveRequests(state)) {
+    RequestRemotePlacement(state, request);
     return;
   }
-  PlaceHere(state, request);
+  PlaceLocally(state, request);
 }
 
-void PlaceHere(State& state, Request& request) {
-  std::visit(
-      Overloaded{
-          [&](const Placed& it) { Start(state, request, it); },
-          [&](const NoRoomNow& it) { Wait(state, request, kLookAgain, it.of); },
-          [&](const TooLarge&) {
-            RefuseRequest(state, request, Refusal::kInvalid, {});
-          },
-          [&](const GivenUp& it) {
-            RefuseRequest(state, request, RefusalFor(it.of), it.retry_after);
-          }},
-      Decide(state, DemandOf(state, request)));
+void PlaceLocally(State& state, Request& request) {
+  std::visit(Overloaded{[&](const Placement& it) {
+                          StartPlacedAttempt(state, request, it);
+                        },
+                        [&](const NoCapacityNow& it) {
+                          QueueRequest(state, request, kLookAgain, it.shortage);
+                        },
+                        [&](const TooLarge&) {
+                          RefuseRequest(state, request, Refusal::kInvalid, {});
+                        },
+                        [&](const DeadlineUnreachable& it) {
+                          RefuseRequest(state, request, RefusalFor(it.shortage),
+                                        it.retry_after);
+                        }},
+             DecidePlacement(state, DemandOf(state, request)));
 }
 
-void StartWaiting(State& state) {
+void StartWaitingRequests(State& state) {
   std::vector<std::pair<Time, RequestKey>> waiting;
-  auto& answer_due = state.dispatch.answer_due;
+  auto& answer_due = state.dispatch.response_due;
   answer_due.reset();
   for (const auto& [key, request] : state.requests) {
     if (request.phase != Phase::kWaiting) continue;
     if (request.retry_at <= state.now) {
-      waiting.emplace_back(TurnOf(state, request), key);
-    } else if (!request.placer.empty() && !request.placer_answered) {
+      waiting.emplace_back(QueueKeyOf(state, request), key);
+    } else if (!request.placer.empty() && !request.placer_responded) {
       answer_due =
           std::min(answer_due.value_or(request.retry_at), request.retry_at);
     }
@@ -269,31 +278,35 @@
     const auto it = state.requests.find(key);
     if (it != state.requests.end()) TryStart(state, it->second);
   }
-  LookAtAsked(state);
+  RetryRemotePlacements(state);
 }
 
-void OnMemoryAnswered(State& state, const MemoryAnswered& event) {
+void OnMemoryAnswered(State& state, const MemoryReservationAnswered& event) {
   const auto found = state.attempts.find(event.attempt);
   if (found == state.attempts.end()) return;
   Request& request = state.requests.at(found->second);
-  if (event.index >= request.memory.size()) return;
+  if (event.helper_index >= request.memory_reservations.size()) return;
   if (request.phase != Phase::kReserving) return;
   if (!event.granted) {
     Log(state, "memory_refused",
-        {{"request", request.facts.id},
-         {"address", request.memory[event.index].address},
-         {"tokens", std::to_string(request.memory[event.index].tokens)}});
-    DropAttempt(state, request, false);
-    Wait(state, request, kMemoryAgain, Shortage::kTickets);
+        {{"request", request.metadata.id},
+         {"address", request.memory_reservations[event.helper_index].address},
+         {"tokens",
+          std::to_string(
+              request.memory_reservations[event.helper_index].tokens)}});
+    EndAttempt(state, request, false);
+    QueueRequest(state, request, kMemoryAgain, Shortage::kCombinedMemory);
     return;
   }
-  request.memory[event.index].granted = true;
-  const bool all = std::all_of(request.memory.begin(), request.memory.end(),
-                               [](const Memory& it) { return it.granted; });
+  request.memory_reservations[event.helper_index].granted = true;
+  const bool all = std::all_of(
+      request.memory_reservations.begin(), request.memory_reservations.end(),
+      [](const MemoryReservation& it) { return it.granted; });
   if (!all) return;
-  request.work.started = state.now;
-  request.progress_by = state.now + 2 * request.read +
-                        std::max(kFirstEventGrace, request.route.objective / 2);
+  request.active_request.started_at = state.now;
+  request.progress_deadline =
+      state.now + 2 * request.prefill_time +
+      std::max(kFirstEventGrace, request.route.objective / 2);
   Send(state, request);
 }
 
@@ -302,47 +315,49 @@
 // Whether the engine that is to write lives, as far as can be known; asks it
 // where that is not known.
 bool HasSign(State& state, Request& request) {
-  const bool lives = state.now - request.sign_at <= kSignWithin;
+  const bool lives = state.now - request.backend_alive_at <= kSignWithin;
   if (request.phase != Phase::kRunning || lives) return true;
   const Backend* backend = FindBackend(state, request.backend);
-  if (backend != nullptr && request.ask_sign_at <= state.now) {
-    request.ask_sign_at = state.now + kAskSignEvery;
-    NoteStart(state, request.backend);
-    state.effects.emplace_back(AskReport{.backend = request.backend,
-                                         .address = backend->server.address});
+  if (backend != nullptr && request.probe_due <= state.now) {
+    request.probe_due = state.now + kAskSignEvery;
+    RecordStart(state, request.backend);
+    state.effects.emplace_back(FetchEngineReport{
+        .backend = request.backend, .address = backend->server.address});
   }
   return false;
 }
 
 }  // namespace
 
-void RenewMemory(State& state, Request& request) {
+void RenewReservations(State& state, Request& request) {
   const bool due = std::any_of(
-      request.memory.begin(), request.memory.end(), [&](const Memory& it) {
-        return !it.ticket.empty() && it.renew_at <= state.now;
+      request.memory_reservations.begin(), request.memory_reservations.end(),
+      [&](const MemoryReservation& it) {
+        return !it.reservation_id.empty() && it.renew_at <= state.now;
       });
   if (!due || !HasSign(state, request)) return;
-  for (std::size_t i = 0; i < request.memory.size(); ++i) {
-    Memory& memory = request.memory[i];
-    if (memory.ticket.empty() || memory.renew_at > state.now) continue;
+  for (std::size_t i = 0; i < request.memory_reservations.size(); ++i) {
+    MemoryReservation& memory = request.memory_reservations[i];
+    if (memory.reservation_id.empty() || memory.renew_at > state.now) continue;
     memory.renew_at = state.now + kRenewAfter;
-    NoteStart(state, request.work.helpers[i]);
-    state.effects.emplace_back(ReserveMemory{.attempt = request.attempt,
-                                             .index = i,
-                                             .address = memory.address,
-                                             .ticket = memory.ticket,
-                                             .tokens = memory.tokens,
-                                             .hold = kHold});
+    RecordStart(state, request.active_request.helpers[i]);
+    state.effects.emplace_back(
+        ReserveMemory{.attempt = request.attempt,
+                      .helper_index = i,
+                      .address = memory.address,
+                      .reservation_id = memory.reservation_id,
+                      .tokens = memory.tokens,
+                      .lease_duration = kHold});
   }
 }
 
-void ReleaseMemoryOf(State& state, Request& request) {
-  for (const Memory& it : request.memory) {
-    if (it.ticket.empty()) continue;
-    state.effects.emplace_back(
-        ReleaseMemory{.address = it.address, .ticket = it.ticket});
+void ReleaseReservations(State& state, Request& request) {
+  for (const MemoryReservation& it : request.memory_reservations) {
+    if (it.reservation_id.empty()) continue;
+    state.effects.emplace_back(ReleaseMemory{
+        .address = it.address, .reservation_id = it.reservation_id});
   }
-  request.memory.clear();
+  request.memory_reservations.clear();
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/store_eras.cc
+++ b/serving/src/store_eras.cc
@@ -43,12 +43,12 @@
 
 bool HasHeardOthers(const State& state) {
   // A store that tells no era is not known to have been restored.
-  if (state.store.era.number == 0 || !IsStarting(state)) return true;
+  if (state.store.epoch.number == 0 || !IsStarting(state)) return true;
   // With the peers the store told which era was settled last.
   if (!state.peers_listed) return false;
   const auto heard = static_cast<std::size_t>(
       std::count_if(state.members.begin(), state.members.end(),
-                    [&](const auto& it) { return IsHeard(state, it.second); }));
+                    [&](const auto& it) { return IsLive(state, it.second); }));
   const Duration waited = state.now - state.started_at;
   if (heard == 0) return waited >= kHearsNobodyFor;
   const bool hears_enough =
@@ -57,12 +57,12 @@
 }
 
 void Settle(State& state, const std::string& why) {
-  StoreEra& era = state.store.era;
-  if (std::exchange(era.settled, true)) return;
-  state.changed = true;
-  era.note_due = state.now + Drawn(state, kNoteWithin);
+  StoreEpoch& era = state.store.epoch;
+  if (std::exchange(era.reconciled, true)) return;
+  state.has_unpublished_changes = true;
+  era.record_due = state.now + RandomDuration(state, kNoteWithin);
   // Now a question can prove the configuration.
-  state.store.ask_due = state.now;
+  state.store.poll_due = state.now;
   Log(state, "store_settled",
       {{"era", std::to_string(era.number)}, {"why", why}});
 }
@@ -70,23 +70,24 @@
 // A daemon that starts hears of a restore that the others know, or that none of
 // them was there to notice.
 void JoinRestore(State& state, Duration unsettled_for) {
-  StoreEra& era = state.store.era;
+  StoreEpoch& era = state.store.epoch;
   era.restored_at = era.restored_at.value_or(state.now);
-  era.settled = false;
-  era.settles_at = std::max(era.settles_at, state.now + unsettled_for);
+  era.reconciled = false;
+  era.reconciled_at = std::max(era.reconciled_at, state.now + unsettled_for);
 }
 
 // The operators wrote it since the restore, so that it is their newest.
 bool IsRewritten(const State& state, const ConfigurationStamp& stored) {
-  const StoreEra& era = state.store.era;
+  const StoreEpoch& era = state.store.epoch;
   const StoreRevision& at = stored.revision;
   const ConfigurationStamp known = StampOf(state);
   const bool moved = known.version == stored.version &&
-                     known.revision.era + 1 == at.era &&
+                     known.revision.epoch + 1 == at.epoch &&
                      known.revision.number != at.number;
-  const bool is_later = era.first_number != 0 && at.number > era.first_number;
-  const bool changed =
-      era.stored.revision.number != 0 && at.number > era.stored.revision.number;
+  const bool is_later =
+      era.first_revision_number != 0 && at.number > era.first_revision_number;
+  const bool changed = era.stored_configuration.revision.number != 0 &&
+                       at.number > era.stored_configuration.revision.number;
   return moved || is_later || changed;
 }
 
@@ -97,10 +98,11 @@
                              : ConfigurationStamp{};
 }
 
-void NoteEra(State& state, std::uint64_t number, const std::string& told_by) {
-  StoreEra& era = state.store.era;
+void ObserveEpoch(State& state, std::uint64_t number,
+                  const std::string& told_by) {
+  StoreEpoch& era = state.store.epoch;
   if (number <= era.number) return;
-  if (!IsPlausibleEra(era.number, number)) {
+  if (!IsPlausibleEpoch(era.number, number)) {
     Log(state, "era_refused",
         {{"era", std::to_string(number)},
          {"known", std::to_string(era.number)},
@@ -108,18 +110,18 @@
         /*routine=*/true);
     return;
   }
-  const bool first = !std::exchange(era.heard, true);
+  const bool first = !std::exchange(era.known, true);
   const std::uint64_t before = std::exchange(era.number, number);
-  era.noted = 0;
-  era.note_due = state.now + Drawn(state, kNoteWithin);
+  era.recorded_reconciled = 0;
+  era.record_due = state.now + RandomDuration(state, kNoteWithin);
   if (first) return;
   era.restored_at = state.now;
-  era.first_number = 0;
-  era.stored = {};
-  era.settled = false;
-  era.settles_at = state.now + kSettlesWithin;
-  state.changed = true;
-  state.store.ask_due = state.now;
+  era.first_revision_number = 0;
+  era.stored_configuration = {};
+  era.reconciled = false;
+  era.reconciled_at = state.now + kSettlesWithin;
+  state.has_unpublished_changes = true;
+  state.store.poll_due = state.now;
   Log(state, "store_restored",
       {{"era", std::to_string(number)},
        {"era_before", std::to_string(before)},
@@ -127,14 +129,14 @@
        {"version", std::to_string(StampOf(state).version)},
        {"backends", std::to_string(state.backends.size())},
        {"contents", std::to_string(state.quarantine.size())}});
-  state.effects.emplace_back(WriteEntryAgain{});
+  state.effects.emplace_back(RewriteOwnEntry{});
   // The others hear of it by relays.
   if (state.store.watching) state.effects.emplace_back(ListStore{});
 }
 
-void OnSettledEra(State& state, std::uint64_t settled) {
-  StoreEra& era = state.store.era;
-  era.noted = settled;
+void OnReconciledEpoch(State& state, std::uint64_t settled) {
+  StoreEpoch& era = state.store.epoch;
+  era.recorded_reconciled = settled;
   const bool unnoticed = settled != 0 && settled < era.number;
   if (!unnoticed || !IsStarting(state) || era.restored_at) return;
   Log(state, "store_restored",
@@ -144,74 +146,78 @@
   JoinRestore(state, kSettlesWithin);
 }
 
-void NoteSettledEraDue(State& state) {
-  StoreEra& era = state.store.era;
-  const bool settled =
-      era.settled && !IsStarting(state) && !AwaitsOperators(state);
-  const bool lacks = settled && era.noted < era.number;
-  if (!lacks || !state.store.leads || state.now < era.note_due) return;
-  era.note_due = state.now + kNoteAgain;
+void WriteReconciledEpochIfDue(State& state) {
+  StoreEpoch& era = state.store.epoch;
+  const bool settled = era.reconciled && !IsStarting(state) &&
+                       !AwaitsConfigurationRewrite(state);
+  const bool lacks = settled && era.recorded_reconciled < era.number;
+  if (!lacks || !state.store.is_lead_poller || state.now < era.record_due)
+    return;
+  era.record_due = state.now + kNoteAgain;
   Log(state, "notes_settled_era",
       {{"era", std::to_string(era.number)},
-       {"noted", std::to_string(era.noted)}});
-  state.effects.emplace_back(WriteSettledEra{.era = era.number});
+       {"noted", std::to_string(era.recorded_reconciled)}});
+  state.effects.emplace_back(WriteReconciledEpoch{.epoch = era.number});
 }
 
 bool IsJustRestored(const State& state) {
-  const auto& restored = state.store.era.restored_at;
+  const auto& restored = state.store.epoch.restored_at;
   return restored && state.now < *restored + kSettlesWithin;
 }
 
 Time RestoreEnd(const State& state) {
-  return state.store.era.restored_at.value_or(Time{}) + kSettlesWithin;
+  return state.store.epoch.restored_at.value_or(Time{}) + kSettlesWithin;
 }
 
-void NoteFirstNumber(State& state, const StoreRevision& at) {
-  StoreEra& era = state.store.era;
-  if (at.era != era.number || era.first_number != 0) return;
-  era.first_number = at.number;
+void RecordFirstRevisionNumber(State& state, const StoreRevision& at) {
+  StoreEpoch& era = state.store.epoch;
+  if (at.epoch != era.number || era.first_revision_number != 0) return;
+  era.first_revision_number = at.number;
 }
 
-void NoteStored(State& state, const ConfigurationStamp& stored) {
-  StoreEra& era = state.store.era;
-  if (stored.revision.era != era.number) return;
-  if (!era.settled && IsRewritten(state, stored)) Settle(state, "written");
-  if (stored.revision > era.stored.revision) era.stored = stored;
+void RecordStoredConfiguration(State& state, const ConfigurationStamp& stored) {
+  StoreEpoch& era = state.store.epoch;
+  if (stored.revision.epoch != era.number) return;
+  if (!era.reconciled && IsRewritten(state, stored)) Settle(state, "written");
+  if (stored.revision > era.stored_configuration.revision)
+    era.stored_configuration = stored;
 }
 
-void ProveByStore(State& state, std::uint64_t number, Time asked) {
-  StoreEra& era = state.store.era;
+void ConfirmByStore(State& state, std::uint64_t number, Time asked) {
+  StoreEpoch& era = state.store.epoch;
   if (number != era.number || asked == Time{}) return;
-  if (!era.settled && state.now >= era.settles_at) Settle(state, "time");
-  if (!era.settled || AwaitsOperators(state)) return;
+  if (!era.reconciled && state.now >= era.reconciled_at) Settle(state, "time");
+  if (!era.reconciled || AwaitsConfigurationRewrite(state)) return;
   if (!HasHeardOthers(state)) {
-    era.first_proof = asked;
+    era.first_confirmation = asked;
     return;
   }
   ConfirmConfiguration(state, asked);
 }
 
-void TakeFirstProof(State& state) {
-  StoreEra& era = state.store.era;
-  if (!era.first_proof || !HasHeardOthers(state)) return;
-  const Time asked = *std::exchange(era.first_proof, std::nullopt);
-  ProveByStore(state, era.number, asked);
+void ApplyFirstConfirmation(State& state) {
+  StoreEpoch& era = state.store.epoch;
+  if (!era.first_confirmation || !HasHeardOthers(state)) return;
+  const Time asked = *std::exchange(era.first_confirmation, std::nullopt);
+  ConfirmByStore(state, era.number, asked);
 }
 
-void HearRestore(State& state, const LoadSnapshot& told) {
-  NoteEra(state, told.era, told.peer_address);
-  StoreEra& era = state.store.era;
+void ApplyPeerRestore(State& state, const LoadSnapshot& told) {
+  ObserveEpoch(state, told.epoch, told.peer_address);
+  StoreEpoch& era = state.store.epoch;
   // A daemon that starts can't know of it otherwise.
-  const bool starts = IsStarting(state) && told.era == era.number;
-  if (starts && told.unsettled_for > Duration::zero()) {
-    JoinRestore(state, told.unsettled_for);
+  const bool starts = IsStarting(state) && told.epoch == era.number;
+  if (starts && told.reconciling_for > Duration::zero()) {
+    JoinRestore(state, told.reconciling_for);
   }
   // It is known to daemons only: the store has lost it.
-  const bool lost = told.configuration.revision.era < era.number;
-  if (lost) PlanReading(state, told.configuration, told.peer_address);
+  const bool lost = told.configuration.revision.epoch < era.number;
+  if (lost)
+    ScheduleConfigurationRead(state, told.configuration, told.peer_address);
 }
 
-void TakeProvedBy(State& state, const StoreRelay& relay, Time sent) {
+void ApplyRelayedConfirmation(State& state, const StoreRelay& relay,
+                              Time sent) {
   if (!relay.configuration_age) return;
   const Time asked = sent - *relay.configuration_age;
   if (IsNewer(relay.digest.configuration, StampOf(state))) {
@@ -223,39 +229,39 @@
   ConfirmConfiguration(state, asked);
 }
 
-Duration UnsettledFor(const State& state) {
-  const StoreEra& era = state.store.era;
-  if (era.settled) return Duration::zero();
-  return std::max(era.settles_at - state.now, Duration::zero());
+Duration ReconcilingFor(const State& state) {
+  const StoreEpoch& era = state.store.epoch;
+  if (era.reconciled) return Duration::zero();
+  return std::max(era.reconciled_at - state.now, Duration::zero());
 }
 
 StoreRevision StoredRevision(const State& state) {
   const StoreRevision known = StampOf(state).revision;
-  const StoreEra& era = state.store.era;
-  return known.era == era.number ? known : era.stored.revision;
+  const StoreEpoch& era = state.store.epoch;
+  return known.epoch == era.number ? known : era.stored_configuration.revision;
 }
 
-bool IsOfCopy(const State& state, const BackendServer& server) {
-  const StoreEra& era = state.store.era;
-  const auto gone = state.store.gone.find(server.id);
-  return gone != state.store.gone.end() && era.restored_at &&
-         gone->second.revision.era < server.revision.era &&
-         server.born <= gone->second.born &&
-         (era.first_number == 0 ||
-          server.revision.number <= era.first_number) &&
+bool IsRestoredTombstone(const State& state, const BackendServer& server) {
+  const StoreEpoch& era = state.store.epoch;
+  const auto gone = state.store.tombstones.find(server.id);
+  return gone != state.store.tombstones.end() && era.restored_at &&
+         gone->second.revision.epoch < server.revision.epoch &&
+         server.start_unix_ms <= gone->second.start_unix_ms &&
+         (era.first_revision_number == 0 ||
+          server.revision.number <= era.first_revision_number) &&
          state.now < *era.restored_at + kCopyLapses;
 }
 
-Time CopyLapse(const State& state) {
-  return state.store.era.restored_at.value_or(Time{}) + kCopyLapses;
+Time RestoredTombstoneEnd(const State& state) {
+  return state.store.epoch.restored_at.value_or(Time{}) + kCopyLapses;
 }
 
 }  // namespace internal
 
-bool AwaitsOperators(const State& state) {
+bool AwaitsConfigurationRewrite(const State& state) {
   const ConfigurationStamp newest = internal::NewestStamp(state);
   return newest.revision.number != 0 &&
-         newest.revision.era < state.store.era.number;
+         newest.revision.epoch < state.store.epoch.number;
 }
 
 }  // namespace scaleshed::serving
--- a/serving/src/store_following.cc
+++ b/serving/src/store_following.cc
@@ -53,7 +53,7 @@
 constexpr Duration kSnapshotGrain = milliseconds(20);
 
 Duration RoundOf(const State& state) {
-  return PartOf(state.options.news_within, kRoundPart);
+  return FractionOf(state.options.propagation_limit, kRoundPart);
 }
 
 // The daemons of this data centre that ask, as far as this one can tell: they
@@ -62,8 +62,8 @@
   const std::string& here = state.options.data_centre;
   auto askers =
       StrongestOf(state, here, ReachesStore(state), [&](const Member& it) {
-        return it.snapshot.asks_store && it.snapshot.data_centre == here &&
-               IsHeard(state, it);
+        return it.snapshot.polls_store && it.snapshot.data_centre == here &&
+               IsLive(state, it);
       });
   askers.resize(std::min(kAskers, askers.size()));
   return askers;
@@ -71,7 +71,7 @@
 
 StoreDigest DigestOf(const State& state) {
   StoreDigest digest{.configuration = StampOf(state),
-                     .endings = state.quarantine.digest()};
+                     .crashes = state.quarantine.digest()};
   for (const auto& [id, backend] : state.backends) {
     if (!backend.gone_at) digest.backends ^= backend.entry_hash;
   }
@@ -81,60 +81,61 @@
 Time OwnQuestionDue(const State& state) {
   const double jitter =
       static_cast<double>(HashBytes(state.options.peer_address) % 1000) / 1000;
-  const Duration limit =
-      PartOf(state.options.news_within, kOwnPart + kOwnJitterPart * jitter);
+  const Duration limit = FractionOf(state.options.propagation_limit,
+                                    kOwnPart + kOwnJitterPart * jitter);
   // After its start a daemon waits as long for a first proof.
-  const Time proved = ProvedAt(state);
-  const Time since = proved == Time{} ? state.store.role_at : proved;
-  return std::max(state.store.ask_due, since + limit);
+  const Time proved = StoreConfirmedAt(state);
+  const Time since = proved == Time{} ? state.store.role_since : proved;
+  return std::max(state.store.poll_due, since + limit);
 }
 
 Time QuestionDue(const State& state) {
   const StoreFollowing& store = state.store;
   if (!store.watching) return OwnQuestionDue(state);
-  if (store.leads) return store.ask_due;
-  const Duration missed = PartOf(state.options.news_within, kStandInPart);
-  return std::max(store.ask_due, ProvedAt(state) + missed);
+  if (store.is_lead_poller) return store.poll_due;
+  const Duration missed =
+      FractionOf(state.options.propagation_limit, kStandInPart);
+  return std::max(store.poll_due, StoreConfirmedAt(state) + missed);
 }
 
 bool HasNews(const State& state) {
   const StoreFollowing& store = state.store;
-  return StampOf(state) != store.told_configuration ||
-         std::any_of(store.endings.begin(), store.endings.end(),
-                     [](const SeenEndings& it) { return !it.told; }) ||
+  return StampOf(state) != store.relayed_configuration ||
+         std::any_of(store.crashes.begin(), store.crashes.end(),
+                     [](const ObservedCrashes& it) { return !it.relayed; }) ||
          std::any_of(store.changes.begin(), store.changes.end(),
-                     [](const SeenChange& it) { return !it.told; });
+                     [](const ObservedChange& it) { return !it.relayed; });
 }
 
 bool HasProof(const State& state) {
-  return ProvedAt(state) > state.store.relayed_proof;
+  return StoreConfirmedAt(state) > state.store.relayed_confirmation;
 }
 
 void TakeRole(State& state) {
   const auto askers = AskersOf(state);
   const std::string& own = state.options.peer_address;
-  state.store.askers = {askers.begin(), askers.end()};
-  state.store.leads = !askers.empty() && askers.front() == own;
-  const bool asker = state.store.askers.contains(own);
+  state.store.pollers = {askers.begin(), askers.end()};
+  state.store.is_lead_poller = !askers.empty() && askers.front() == own;
+  const bool asker = state.store.pollers.contains(own);
   if (asker == state.store.watching) return;
   state.store.watching = asker;
-  state.effects.emplace_back(WatchStore{.on = asker});
+  state.effects.emplace_back(WatchStore{.enabled = asker});
   Log(state, "store_role",
       {{"asks", asker ? "true" : "false"},
        {"data_centre", state.options.data_centre},
-       {"proved_ms_ago", Millis(state.now - ProvedAt(state))}});
+       {"proved_ms_ago", Millis(state.now - StoreConfirmedAt(state))}});
 }
 
 void Ask(State& state) {
   StoreFollowing& store = state.store;
   if (!store.watching) {
     Log(state, "asks_for_itself",
-        {{"proved_ms_ago", Millis(state.now - ProvedAt(state))},
-         {"failures", std::to_string(store.failures)}});
+        {{"proved_ms_ago", Millis(state.now - StoreConfirmedAt(state))},
+         {"failures", std::to_string(store.consecutive_failures)}});
   }
-  store.ask_due = state.now + RoundOf(state);
-  NoteQuestion(state);
-  AskStore question{.configuration = StoredRevision(state), .backends = {}};
+  store.poll_due = state.now + RoundOf(state);
+  RecordStoreQuery(state);
+  PollStore question{.configuration = StoredRevision(state), .backends = {}};
   for (const auto& [id, backend] : state.backends) {
     if (backend.gone_at) continue;
     question.backends.emplace_back(id, backend.server.revision);
@@ -151,7 +152,7 @@
     const LoadSnapshot& told = member.snapshot;
     const bool has = !IsNewer(stamp, told.configuration) && told.serving &&
                      told.data_centre == state.options.data_centre;
-    if (has && IsHeard(state, member)) holders.push_back(&address);
+    if (has && IsLive(state, member)) holders.push_back(&address);
   }
   if (holders.empty()) return state.store.read_from;
   return *holders[state.random() % holders.size()];
@@ -163,19 +164,19 @@
     store.read_due.reset();
     store.read_at = state.now;
     ReadConfiguration read{.wanted = store.read_wanted,
-                           .from = HolderOf(state, store.read_wanted)};
+                           .source_peer = HolderOf(state, store.read_wanted)};
     Log(state, "reads_configuration",
         {{"version", std::to_string(read.wanted.version)},
-         {"era", std::to_string(read.wanted.revision.era)},
+         {"era", std::to_string(read.wanted.revision.epoch)},
          {"revision", std::to_string(read.wanted.revision.number)},
-         {"from", read.from}});
+         {"from", read.source_peer}});
     state.effects.emplace_back(std::move(read));
   }
   const bool differs = store.list_due && *store.list_due <= state.now;
   if (!differs && state.now < store.listed_at + kListEvery) return;
   store.list_due.reset();
-  store.listed_at = state.now + Drawn(state, kListEvery / 4);
-  NoteQuestion(state);
+  store.listed_at = state.now + RandomDuration(state, kListEvery / 4);
+  RecordStoreQuery(state);
   Log(state, "lists_store", {{"why", differs ? "differs" : "usual"}});
   state.effects.emplace_back(ListStore{});
 }
@@ -185,16 +186,16 @@
   for (auto it = state.store.changes.rbegin(); it != state.store.changes.rend();
        ++it) {
     if (changes.size() == kMostChanges) break;
-    if (all || !it->told) changes.push_back(it->change);
+    if (all || !it->relayed) changes.push_back(it->change);
   }
   std::reverse(changes.begin(), changes.end());
   return changes;
 }
 
-std::vector<StoredEndings> EndingsToTell(const State& state, bool all) {
-  std::vector<StoredEndings> endings;
-  for (const SeenEndings& it : state.store.endings) {
-    if (all || !it.told) endings.push_back(it.endings);
+std::vector<StoredCrashes> EndingsToTell(const State& state, bool all) {
+  std::vector<StoredCrashes> endings;
+  for (const ObservedCrashes& it : state.store.crashes) {
+    if (all || !it.relayed) endings.push_back(it.crashes);
   }
   // The newest; a list brings the rest.
   const std::size_t n = std::min(endings.size(), kMostChanges);
@@ -206,54 +207,57 @@
   const bool proof = HasProof(state);
   if (!proof && state.now - store.relayed_at < kRelayPause) return;
   StoreRelay relay{.peer_address = state.options.peer_address,
-                   .era = store.era.number,
+                   .epoch = store.epoch.number,
                    .digest = DigestOf(state),
                    .changes = ChangesToTell(state, proof),
-                   .endings = EndingsToTell(state, proof),
-                   .complete_at = store.complete_at,
-                   .age = {},
+                   .crashes = EndingsToTell(state, proof),
+                   .complete_up_to = store.complete_up_to,
+                   .backends_age = {},
                    .configuration_age = {},
                    .daemons = 0,
                    .daemons_age = {}};
   if (proof && store.backends_confirmed_at != Time{}) {
-    relay.age = state.now - store.backends_confirmed_at;
+    relay.backends_age = state.now - store.backends_confirmed_at;
   }
-  const bool settled = store.era.settled && !AwaitsOperators(state);
+  const bool settled =
+      store.epoch.reconciled && !AwaitsConfigurationRewrite(state);
   if (proof && settled && state.confirmed_at != Time{}) {
     relay.configuration_age = state.now - state.confirmed_at;
   }
-  if (proof && store.entries_at != Time{}) {
-    relay.daemons = store.entries;
-    relay.daemons_age = state.now - store.entries_at;
+  if (proof && store.daemon_entries_at != Time{}) {
+    relay.daemons = store.daemon_entries;
+    relay.daemons_age = state.now - store.daemon_entries_at;
   }
-  RelayStore effect;
+  RelayStoreState effect;
   for (const auto& [address, member] : state.members) {
     const bool here = member.snapshot.data_centre == state.options.data_centre;
-    if (!here || !IsHeard(state, member)) continue;
-    relay.heard_life = member.snapshot.life;
+    if (!here || !IsLive(state, member)) continue;
+    relay.heard_incarnation = member.snapshot.incarnation;
     relay.heard_sequence = member.snapshot.sequence;
     effect.messages.emplace_back(address, relay);
   }
   store.relayed_at = state.now;
-  store.relayed_proof = ProvedAt(state);
-  store.told_configuration = StampOf(state);
-  for (SeenChange& it : store.changes) it.told = true;
-  for (SeenEndings& it : store.endings) it.told = true;
+  store.relayed_confirmation = StoreConfirmedAt(state);
+  store.relayed_configuration = StampOf(state);
+  for (ObservedChange& it : store.changes) it.relayed = true;
+  for (ObservedCrashes& it : store.crashes) it.relayed = true;
   if (!effect.messages.empty()) state.effects.emplace_back(std::move(effect));
 }
 
 void ForgetOld(State& state) {
   StoreFollowing& store = state.store;
-  const Time tell_from = state.now - state.options.news_within;
-  while (!store.changes.empty() && store.changes.front().seen < tell_from) {
+  const Time tell_from = state.now - state.options.propagation_limit;
+  while (!store.changes.empty() &&
+         store.changes.front().observed_at < tell_from) {
     store.changes.pop_front();
   }
-  while (!store.endings.empty() && store.endings.front().seen < tell_from) {
-    store.endings.pop_front();
+  while (!store.crashes.empty() &&
+         store.crashes.front().observed_at < tell_from) {
+    store.crashes.pop_front();
   }
   // News of an entry are not on their way for longer than a list is apart.
-  std::erase_if(store.gone, [&](const auto& it) {
-    return it.second.seen < state.now - kListEvery;
+  std::erase_if(store.tombstones, [&](const auto& it) {
+    return it.second.observed_at < state.now - kListEvery;
   });
 }
 
@@ -261,7 +265,7 @@
 // where that is not remembered.
 std::optional<Time> SentAt(const State& state, std::uint64_t life,
                            std::uint64_t sequence) {
-  if (life != state.options.life) return std::nullopt;
+  if (life != state.options.incarnation) return std::nullopt;
   std::optional<Time> at;
   for (const auto& [number, time] : state.store.sent_snapshots) {
     if (number > sequence) break;
@@ -272,39 +276,39 @@
 
 // The asker knows just as much of this era: so do the revisions here.
 void AdoptEra(State& state) {
-  const std::uint64_t era = state.store.era.number;
-  if (std::exchange(state.store.era.adopted, era) == era) return;
+  const std::uint64_t era = state.store.epoch.number;
+  if (std::exchange(state.store.epoch.revisions_epoch, era) == era) return;
   for (auto& [id, backend] : state.backends) {
     // One that the copy lacks has no revision there.
-    if (!backend.gone_at) backend.server.revision.era = era;
+    if (!backend.gone_at) backend.server.revision.epoch = era;
   }
-  state.quarantine.AdoptEra(era);
+  state.quarantine.AdoptEpoch(era);
 }
 
 // What is proved by an asker that knows just as much.
 void TakeProof(State& state, const StoreRelay& relay, Time sent) {
   StoreFollowing& store = state.store;
   const StoreDigest own = DigestOf(state);
-  TakeProvedBy(state, relay, sent);
-  if (!relay.age) return;
+  ApplyRelayedConfirmation(state, relay, sent);
+  if (!relay.backends_age) return;
   const bool same_backends = relay.digest.backends == own.backends;
   if (same_backends) {
-    ConfirmBackends(state, sent - *relay.age);
-    NoteComplete(state, relay.complete_at);
+    ConfirmBackends(state, sent - *relay.backends_age);
+    RecordCompleteUpTo(state, relay.complete_up_to);
   }
-  if (same_backends && relay.digest.endings == own.endings) {
+  if (same_backends && relay.digest.crashes == own.crashes) {
     store.list_due.reset();
     AdoptEra(state);
   } else if (!store.list_due) {
     store.list_due =
-        state.now + PartOf(state.options.news_within, kDiffersPart);
+        state.now + FractionOf(state.options.propagation_limit, kDiffersPart);
   }
 }
 
 }  // namespace
 
-void PlanReading(State& state, const ConfigurationStamp& stamp,
-                 const std::string& told_by) {
+void ScheduleConfigurationRead(State& state, const ConfigurationStamp& stamp,
+                               const std::string& told_by) {
   StoreFollowing& store = state.store;
   if (!IsNewer(stamp, StampOf(state))) return;
   if (IsNewer(stamp, store.read_wanted)) {
@@ -312,48 +316,49 @@
     store.read_wanted = stamp;
   }
   if (store.read_due) return;
-  const Duration within = state.options.news_within;
-  store.read_due = std::max(state.now + Drawn(state, PartOf(within, kReadPart)),
-                            store.read_at + PartOf(within, kReadEveryPart));
+  const Duration within = state.options.propagation_limit;
+  store.read_due =
+      std::max(state.now + RandomDuration(state, FractionOf(within, kReadPart)),
+               store.read_at + FractionOf(within, kReadEveryPart));
 }
 
 bool ReachesStore(const State& state) {
   if (state.stop_at) return false;
-  return state.store.failures == 0 ||
+  return state.store.consecutive_failures == 0 ||
          state.now - state.store.unreachable_at > kUnreachableFor;
 }
 
-void TakeRoles(State& state) {
+void UpdateStoreRoles(State& state) {
   if (state.store.has_role) TakeRole(state);
-  TakeAudience(state);
+  UpdatePlacementDuties(state);
 }
 
 void FollowStore(State& state) {
   StoreFollowing& store = state.store;
-  if (!store.begun) {
+  if (!store.started) {
     // Who else is there is heard before it is decided who asks.
-    store.begun = true;
-    store.ask_due = state.now + RoundOf(state);
+    store.started = true;
+    store.poll_due = state.now + RoundOf(state);
     store.listed_at = state.now;
     return;
   }
   if (!store.has_role) {
-    if (state.now < store.ask_due) return;
+    if (state.now < store.poll_due) return;
     store.has_role = true;
-    store.role_at = state.now;
-    TakeRoles(state);
+    store.role_since = state.now;
+    UpdateStoreRoles(state);
   }
   if (QuestionDue(state) <= state.now) Ask(state);
   ReadWhatIsNewer(state);
   if (store.watching && (HasProof(state) || HasNews(state))) Relay(state);
-  NoteSettledEraDue(state);
+  WriteReconciledEpochIfDue(state);
   ForgetOld(state);
 }
 
-Time StoreDue(const State& state) {
+Time NextStoreWake(const State& state) {
   const StoreFollowing& store = state.store;
-  if (!store.begun) return state.now;
-  if (!store.has_role) return store.ask_due;
+  if (!store.started) return state.now;
+  if (!store.has_role) return store.poll_due;
   Time due = std::max(QuestionDue(state), state.ticked_at);
   if (store.read_due) due = std::min(due, *store.read_due);
   if (store.watching && HasProof(state)) due = state.now;
@@ -363,35 +368,35 @@
   return due;
 }
 
-void NoteStoreReached(State& state) {
-  state.store.failures = 0;
-  NoteStoreHeard(state);
+void RecordStoreReached(State& state) {
+  state.store.consecutive_failures = 0;
+  RecordStoreResponse(state);
 }
 
 void OnBackendsConfirmed(State& state, const BackendsConfirmed& event) {
-  NoteStoreReached(state);
-  if (event.era != state.store.era.number) return;
-  ConfirmBackends(state, event.asked);
+  RecordStoreReached(state);
+  if (event.epoch != state.store.epoch.number) return;
+  ConfirmBackends(state, event.queried_at);
 }
 
 void OnStoreUnreachable(State& state) {
   StoreFollowing& store = state.store;
   store.unreachable_at = state.now;
-  const int doublings = std::min(store.failures++, kMostDoublings);
+  const int doublings = std::min(store.consecutive_failures++, kMostDoublings);
   const auto heard = std::count_if(
       state.members.begin(), state.members.end(), [&](const auto& it) {
         return it.second.snapshot.data_centre == state.options.data_centre &&
-               IsHeard(state, it.second);
+               IsLive(state, it.second);
       });
   const double times = std::max(
       1.0, static_cast<double>(heard + 1) / static_cast<double>(kFewDaemons));
   const Duration most =
-      std::min(PartOf(kFirstPause * (1 << doublings), times), kMostPause);
-  store.ask_due = state.now + most / 2 + Drawn(state, most / 2);
+      std::min(FractionOf(kFirstPause * (1 << doublings), times), kMostPause);
+  store.poll_due = state.now + most / 2 + RandomDuration(state, most / 2);
 }
 
 void OnStoreRelay(State& state, const StoreRelay& relay) {
-  NoteEra(state, relay.era, relay.peer_address);
+  ObserveEpoch(state, relay.epoch, relay.peer_address);
   for (const BackendChange& it : relay.changes) {
     if (it.server) {
       OnListed(state, *it.server);
@@ -400,56 +405,59 @@
                  {.id = it.id, .certain = it.certain, .revision = it.revision});
     }
   }
-  for (const StoredEndings& it : relay.endings) OnEndingsStored(state, it);
-  PlanReading(state, relay.digest.configuration, relay.peer_address);
-  if (!relay.age && !relay.configuration_age) return;
+  for (const StoredCrashes& it : relay.crashes) OnCrashesStored(state, it);
+  ScheduleConfigurationRead(state, relay.digest.configuration,
+                            relay.peer_address);
+  if (!relay.backends_age && !relay.configuration_age) return;
   // What was proved of a history that is lost proves nothing.
-  if (relay.era != state.store.era.number) return;
-  if (relay.age) NoteHeardByOthers(state, *relay.age);
+  if (relay.epoch != state.store.epoch.number) return;
+  if (relay.backends_age) RecordPeerStoreResponse(state, *relay.backends_age);
   // It was sent after that snapshot of ours had left, on our clock.
-  const auto sent = SentAt(state, relay.heard_life, relay.heard_sequence);
+  const auto sent =
+      SentAt(state, relay.heard_incarnation, relay.heard_sequence);
   if (!sent) return;
   TakeProof(state, relay, *sent);
   if (relay.daemons_age) {
-    OnDaemonsCounted(
-        state, {.daemons = relay.daemons, .asked = *sent - *relay.daemons_age});
+    OnDaemonsCounted(state, {.daemons = relay.daemons,
+                             .queried_at = *sent - *relay.daemons_age});
   }
 }
 
-void NoteChange(State& state, BackendChange change) {
+void RecordChange(State& state, BackendChange change) {
   // Those who listen have nobody to tell.
   if (!state.store.watching) return;
   state.store.changes.push_back(
-      {.change = std::move(change), .seen = state.now});
+      {.change = std::move(change), .observed_at = state.now});
 }
 
-void NoteGoneAt(State& state, const std::string& id,
-                const StoreRevision& revision) {
+void RecordTombstone(State& state, const std::string& id,
+                     const StoreRevision& revision) {
   if (revision.number == 0) return;
-  GoneEntry& entry = state.store.gone[id];
+  Tombstone& entry = state.store.tombstones[id];
   const auto known = state.backends.find(id);
-  if (known != state.backends.end()) entry.born = known->second.server.born;
+  if (known != state.backends.end())
+    entry.start_unix_ms = known->second.server.start_unix_ms;
   entry.revision = std::max(entry.revision, revision);
-  entry.seen = state.now;
+  entry.observed_at = state.now;
 }
 
-void NoteComplete(State& state, const StoreRevision& revision) {
-  state.store.complete_at = std::max(state.store.complete_at, revision);
-  NoteFirstNumber(state, revision);
+void RecordCompleteUpTo(State& state, const StoreRevision& revision) {
+  state.store.complete_up_to = std::max(state.store.complete_up_to, revision);
+  RecordFirstRevisionNumber(state, revision);
 }
 
-bool IsGoneSince(const State& state, const std::string& id,
-                 const StoreRevision& revision) {
+bool HasTombstoneSince(const State& state, const std::string& id,
+                       const StoreRevision& revision) {
   const bool known = state.backends.contains(id);
-  if (!known && revision < state.store.complete_at) return true;
-  const auto it = state.store.gone.find(id);
-  return it != state.store.gone.end() && revision < it->second.revision;
+  if (!known && revision < state.store.complete_up_to) return true;
+  const auto it = state.store.tombstones.find(id);
+  return it != state.store.tombstones.end() && revision < it->second.revision;
 }
 
-void NoteSnapshotSent(State& state) {
+void RecordSnapshotSent(State& state) {
   auto& sent = state.store.sent_snapshots;
   if (!sent.empty() && state.now - sent.back().second < kSnapshotGrain) return;
-  sent.emplace_back(state.sequence, state.now);
+  sent.emplace_back(state.snapshot_sequence, state.now);
   while (sent.front().second < state.now - kRemember) sent.pop_front();
 }
 
--- a/serving/src/stored_endings.cc
+++ b/serving/src/stored_endings.cc
@@ -29,7 +29,7 @@
 // The ends of a content from which on they are worth a write.
 std::size_t LeastEndsToSave(const State& state) {
   const auto ends = std::count_if(
-      state.ended_lives.begin(), state.ended_lives.end(),
+      state.ended_incarnations.begin(), state.ended_incarnations.end(),
       [&](const auto& it) { return state.now < it.second + kLately; });
   return static_cast<std::size_t>(ends) > kFewEnds ? 2 : 1;
 }
@@ -38,12 +38,14 @@
 Duration SaveAfter(State& state) {
   // Where it is not known yet who leads, as after a kill of all, a late write
   // may never be made.
-  if (!state.store.has_role) return kSaveAfter + Drawn(state, kSaveAfter);
-  if (!state.store.leads) return kSaveAnyhow + Drawn(state, kSaveAnyhow);
+  if (!state.store.has_role)
+    return kSaveAfter + RandomDuration(state, kSaveAfter);
+  if (!state.store.is_lead_poller)
+    return kSaveAnyhow + RandomDuration(state, kSaveAnyhow);
   std::set<std::string> before;
   for (const auto& [address, member] : state.members) {
     const LoadSnapshot& told = member.snapshot;
-    const bool asks = told.asks_store && IsHeard(state, member);
+    const bool asks = told.polls_store && IsLive(state, member);
     if (asks && told.data_centre < state.options.data_centre) {
       before.insert(told.data_centre);
     }
@@ -53,54 +55,58 @@
 
 }  // namespace
 
-void OnEndingsStored(State& state, const StoredEndings& stored) {
-  const std::size_t known = state.quarantine.EndsOf(stored.content);
-  if (!state.quarantine.TakeStored(stored, state.now)) return;
+void OnCrashesStored(State& state, const StoredCrashes& stored) {
+  const std::size_t known = state.quarantine.CrashCount(stored.fingerprint);
+  if (!state.quarantine.ApplyStored(stored, state.now)) return;
   if (state.store.watching) {
-    state.store.endings.push_back({.endings = stored, .seen = state.now});
+    state.store.crashes.push_back(
+        {.crashes = stored, .observed_at = state.now});
   }
-  const std::size_t n = state.quarantine.EndsOf(stored.content);
+  const std::size_t n = state.quarantine.CrashCount(stored.fingerprint);
   if (n == known) return;
   Log(state, "endings_stored",
-      {{"content", ContentText(stored.content)},
+      {{"content", FingerprintText(stored.fingerprint)},
        {"ends_before", std::to_string(known)},
        {"ends", std::to_string(n)},
-       {"era", std::to_string(stored.revision.era)},
+       {"era", std::to_string(stored.revision.epoch)},
        {"revision", std::to_string(stored.revision.number)},
-       {"held", state.quarantine.Holds(stored.content) ? "true" : "false"}});
+       {"held", state.quarantine.IsQuarantined(stored.fingerprint) ? "true"
+                                                                   : "false"}});
 }
 
-void OnAllEndingsListed(State& state, const AllEndingsListed& event) {
+void OnAllCrashesListed(State& state, const AllCrashesListed& event) {
   std::set<std::uint64_t> there;
-  for (const StoredEndings& it : event.endings) {
-    there.insert(it.content);
-    OnEndingsStored(state, it);
+  for (const StoredCrashes& it : event.crashes) {
+    there.insert(it.fingerprint);
+    OnCrashesStored(state, it);
   }
-  for (const std::uint64_t it : state.quarantine.StoredContents()) {
+  for (const std::uint64_t it : state.quarantine.StoredFingerprints()) {
     if (there.contains(it)) continue;
-    OnEndingsStored(state,
-                    {.content = it, .lives = {}, .revision = event.revision});
+    OnCrashesStored(
+        state,
+        {.fingerprint = it, .incarnations = {}, .revision = event.revision});
   }
 }
 
-void SaveEndingsDue(State& state) {
+void SaveCrashesIfDue(State& state) {
   StoreFollowing& store = state.store;
   const std::size_t least = LeastEndsToSave(state);
   const Time since = state.quarantine.UnsavedSince(least);
   if (store.saving || since == Time::max()) return;
   if (store.save_due < since) store.save_due = since + SaveAfter(state);
   if (store.save_due > state.now) return;
-  SaveEndings save{.endings = state.quarantine.Unsaved(kMostSaved, least)};
+  SaveCrashes save{.crashes = state.quarantine.Unsaved(kMostSaved, least)};
   Log(state, "saves_endings",
-      {{"contents", std::to_string(save.endings.size())},
+      {{"contents", std::to_string(save.crashes.size())},
        {"waited_ms", Millis(state.now - since)}});
   store.saving = true;
   state.effects.emplace_back(std::move(save));
 }
 
-void OnEndingsSaved(State& state) {
+void OnSaveCrashesFinished(State& state) {
   state.store.saving = false;
-  state.store.save_due = state.now + kSaveAgain + Drawn(state, kSaveAgain);
+  state.store.save_due =
+      state.now + kSaveAgain + RandomDuration(state, kSaveAgain);
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/test/backend_lives_test.cc
+++ b/serving/test/backend_lives_test.cc
@@ -30,7 +30,7 @@
           .address = "app0:1",
           .slots = 16,
           .revision = {.number = revision},
-          .born = born};
+          .start_unix_ms = born};
 }
 
 void Tell(Daemon& daemon, Way way, const BackendServer& entry) {
@@ -60,10 +60,10 @@
 bool IsUsed(Daemon& daemon) {
   bool used = false;
   for (int i = 0; i < 12; ++i) {
-    const RequestKey key = daemon.Ask("safe");
-    const auto* sent = daemon.First<StartAttempt>();
+    const RequestKey key = daemon.SendRequest("safe");
+    const auto* sent = daemon.FirstEffect<StartAttempt>();
     used = used || (sent != nullptr && sent->instance == "app0");
-    daemon.Feed(ClientGone{key});
+    daemon.Feed(ClientDisconnected{key});
   }
   return used;
 }
@@ -79,11 +79,11 @@
     Tell(daemon, way, leaving);
     const BackendId before = App0(daemon).id;
     App0(daemon).suspect_until = daemon.now() + seconds(60);
-    App0(daemon).bad_answers = 9;
+    App0(daemon).recent_failed_responses = 9;
     CHECK_FALSE(IsUsed(daemon));
     Tell(daemon, way, Entry(kBorn + 5000, 101));
     CHECK(IsUsed(daemon));
-    CHECK(App0(daemon).bad_answers == 0);
+    CHECK(App0(daemon).recent_failed_responses == 0);
     // What others tell of the life before names another backend server.
     CHECK(App0(daemon).id != before);
   }
@@ -127,13 +127,14 @@
     Daemon daemon;
     Tell(daemon, way, Entry(kBorn, 100));
     REQUIRE(IsUsed(daemon));
-    Tell(daemon, way,
-         {.id = "app0", .revision = {.number = 101}, .fault = "state: ?"});
+    Tell(
+        daemon, way,
+        {.id = "app0", .revision = {.number = 101}, .entry_error = "state: ?"});
     CHECK_FALSE(IsUsed(daemon));
     CHECK(App0(daemon).server.revision.number == 101);
     // The others hold.
-    daemon.Ask("safe");
-    CHECK(daemon.First<StartAttempt>() != nullptr);
+    daemon.SendRequest("safe");
+    CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
     // That one has a foreign word of its own, and no life.
     Tell(daemon, way, Entry(0, 102));
     CHECK_FALSE(IsUsed(daemon));
@@ -148,7 +149,7 @@
   leaving.leaving = true;
   Tell(daemon, Way::kWatch, leaving);
   Tell(daemon, Way::kWatch,
-       {.id = "app0", .revision = {.number = 101}, .fault = "?"});
+       {.id = "app0", .revision = {.number = 101}, .entry_error = "?"});
   Tell(daemon, Way::kWatch, Entry(kBorn, 102));
   CHECK_FALSE(IsUsed(daemon));
 }
@@ -159,7 +160,7 @@
     Daemon daemon;
     daemon.Feed(BackendUnlisted{.id = "app0", .revision = {.number = 99}});
     Tell(daemon, way,
-         {.id = "app0", .revision = {.number = 100}, .fault = "?"});
+         {.id = "app0", .revision = {.number = 100}, .entry_error = "?"});
     CHECK_FALSE(IsUsed(daemon));
     REQUIRE(daemon.state().backends.contains("app0"));
     Tell(daemon, way, Entry(kBorn, 101));
@@ -174,11 +175,13 @@
                              .address = "llm0:1",
                              .slots = 16,
                              .revision = {.number = 100},
-                             .born = kBorn}});
+                             .start_unix_ms = kBorn}});
   const Backend& engine = daemon.state().backends.at("llm0");
-  daemon.Feed(ReportSeen{.backend = engine.id, .pace = 4, .born = kBorn - 1});
+  daemon.Feed(EngineReportReceived{
+      .backend = engine.id, .slowdown = 4, .start_unix_ms = kBorn - 1});
   CHECK_FALSE(engine.slow);
-  daemon.Feed(ReportSeen{.backend = engine.id, .pace = 4, .born = kBorn});
+  daemon.Feed(EngineReportReceived{
+      .backend = engine.id, .slowdown = 4, .start_unix_ms = kBorn});
   CHECK(engine.slow);
 }
 
@@ -191,7 +194,7 @@
 
 Ticketed SendTicketed(Daemon& daemon, const std::string& route) {
   Ticketed prompt;
-  prompt.key = daemon.Ask(route, 700'000);
+  prompt.key = daemon.SendRequest(route, 700'000);
   for (const Effect& it : daemon.effects()) {
     if (const auto* order = std::get_if<ReserveMemory>(&it)) {
       prompt.tickets.push_back(*order);
@@ -199,11 +202,12 @@
   }
   REQUIRE_FALSE(prompt.tickets.empty());
   for (const ReserveMemory& it : prompt.tickets) {
-    daemon.Feed(MemoryAnswered{
-        .attempt = it.attempt, .index = it.index, .granted = true});
+    daemon.Feed(MemoryReservationAnswered{.attempt = it.attempt,
+                                          .helper_index = it.helper_index,
+                                          .granted = true});
   }
-  REQUIRE(daemon.First<StartAttempt>() != nullptr);
-  prompt.sent = *daemon.First<StartAttempt>();
+  REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
+  prompt.sent = *daemon.FirstEffect<StartAttempt>();
   return prompt;
 }
 
@@ -215,7 +219,8 @@
 }
 
 void Report(Daemon& daemon, const std::string& id) {
-  daemon.Feed(ReportSeen{.backend = daemon.state().backends.at(id).id});
+  daemon.Feed(
+      EngineReportReceived{.backend = daemon.state().backends.at(id).id});
 }
 
 // An engine fell silent without closing while it was to write the answer to a
@@ -227,19 +232,19 @@
     INFO(route);
     Daemon daemon;
     const Ticketed prompt = SendTicketed(daemon, route);
-    daemon.Pass(seconds(2));
+    daemon.AdvanceTime(seconds(2));
     CHECK(Renewals(daemon.effects()) == 0);
     bool asked = false;
     for (const Effect& it : daemon.effects()) {
-      const auto* question = std::get_if<AskReport>(&it);
+      const auto* question = std::get_if<FetchEngineReport>(&it);
       asked = asked ||
               (question != nullptr && question->address == prompt.sent.address);
     }
     CHECK(asked);
     // It lives after all.
-    daemon.Confirm();
+    daemon.ConfirmStore();
     Report(daemon, prompt.sent.instance);
-    daemon.Pass(milliseconds(100));
+    daemon.AdvanceTime(milliseconds(100));
     CHECK(Renewals(daemon.effects()) == prompt.tickets.size());
   }
 }
@@ -254,11 +259,11 @@
                              .address = helper,
                              .slots = 16,
                              .revision = {.number = 100},
-                             .born = kBorn}});
+                             .start_unix_ms = kBorn}});
   Report(daemon, prompt.sent.instance);
-  daemon.Pass(milliseconds(1000));
+  daemon.AdvanceTime(milliseconds(1000));
   Report(daemon, prompt.sent.instance);
-  daemon.Pass(milliseconds(100));
+  daemon.AdvanceTime(milliseconds(100));
   for (const Effect& it : daemon.effects()) {
     const auto* order = std::get_if<ReserveMemory>(&it);
     if (order != nullptr) CHECK(order->address != helper);
@@ -271,40 +276,40 @@
                              .address = sent.address,
                              .slots = 16,
                              .revision = {.number = 100},
-                             .born = kBorn}});
+                             .start_unix_ms = kBorn}});
 }
 
 TEST_CASE("What was in work at a life that is over is sent elsewhere") {
   Daemon daemon;
-  daemon.Ask("stream", 210'000);
-  const StartAttempt sent = *daemon.First<StartAttempt>();
-  daemon.Pass(milliseconds(2050));
-  daemon.Confirm();
+  daemon.SendRequest("stream", 210'000);
+  const StartAttempt sent = *daemon.FirstEffect<StartAttempt>();
+  daemon.AdvanceTime(milliseconds(2050));
+  daemon.ConfirmStore();
   StartAgain(daemon, sent);
-  REQUIRE(daemon.First<CancelAttempt>() != nullptr);
-  CHECK(daemon.First<CancelAttempt>()->attempt == sent.attempt);
-  REQUIRE(daemon.First<StartAttempt>() != nullptr);
-  CHECK(daemon.First<StartAttempt>()->attempt != sent.attempt);
+  REQUIRE(daemon.FirstEffect<CancelAttempt>() != nullptr);
+  CHECK(daemon.FirstEffect<CancelAttempt>()->attempt == sent.attempt);
+  REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
+  CHECK(daemon.FirstEffect<StartAttempt>()->attempt != sent.attempt);
 }
 
 TEST_CASE("What may be in work at the new life is left there") {
   SECTION("sent a moment ago") {
     Daemon daemon;
-    daemon.Ask("stream", 210'000);
-    const StartAttempt sent = *daemon.First<StartAttempt>();
-    daemon.Pass(milliseconds(1500));
+    daemon.SendRequest("stream", 210'000);
+    const StartAttempt sent = *daemon.FirstEffect<StartAttempt>();
+    daemon.AdvanceTime(milliseconds(1500));
     StartAgain(daemon, sent);
-    CHECK(daemon.First<CancelAttempt>() == nullptr);
+    CHECK(daemon.FirstEffect<CancelAttempt>() == nullptr);
   }
   SECTION("not to be repeated") {
     Daemon daemon;
-    daemon.Ask("once-stream", 210'000);
-    const StartAttempt sent = *daemon.First<StartAttempt>();
-    daemon.Pass(milliseconds(2050));
-    daemon.Confirm();
+    daemon.SendRequest("once-stream", 210'000);
+    const StartAttempt sent = *daemon.FirstEffect<StartAttempt>();
+    daemon.AdvanceTime(milliseconds(2050));
+    daemon.ConfirmStore();
     StartAgain(daemon, sent);
-    CHECK(daemon.First<CancelAttempt>() == nullptr);
-    CHECK(daemon.First<Refuse>() == nullptr);
+    CHECK(daemon.FirstEffect<CancelAttempt>() == nullptr);
+    CHECK(daemon.FirstEffect<Refuse>() == nullptr);
   }
 }
 
--- a/serving/test/deadly_requests_test.cc
+++ b/serving/test/deadly_requests_test.cc
@@ -9,7 +9,7 @@
 #include <functional>
 #include <random>
 
-#include "hall.h"
+#include "simulated_fleet.h"
 
 namespace scaleshed::serving::test {
 namespace {
@@ -18,21 +18,22 @@
 // So long after the third end none may leave any more (`contact_ms`).
 constexpr Duration kContact = seconds(3);
 
-struct Outcome {
+struct LoadResult {
   std::size_t ends = 0;
   std::size_t late = 0;  // sends of the deadly one after the third and kContact
   std::size_t innocent = 0;
-  std::size_t served = 0;
+  std::size_t answered = 0;
 };
 
 // Copies come at drawn daemons, one each `gap`, and beside them others. `at` is
 // called at each step.
-Outcome Play(
-    HallOptions options, Duration gap, int copies,
-    const std::function<void(Hall&)>& at = [](Hall& /*hall*/) {}) {
-  options.slack = true;
-  Hall hall(options);
-  hall.MakeDeadly(kDeadly);
+LoadResult RunLoad(
+    SimulatedFleetOptions options, Duration gap, int copies,
+    const std::function<void(SimulatedFleet&)>& at =
+        [](SimulatedFleet& /*hall*/) {}) {
+  options.hold_slack_share = true;
+  SimulatedFleet hall(options);
+  hall.MakeCrashing(kDeadly);
   std::mt19937_64 random(7);
   const auto any = [&] {
     return static_cast<int>(random() %
@@ -44,58 +45,61 @@
   Time due = hall.now();
   for (int step = 0; copies > 0; ++step) {
     if (hall.now() >= due) {
-      hall.Ask(any(), 2000, seconds(10), kDeadly);
+      hall.SendPrompt(any(), 2000, seconds(10), kDeadly);
       due += gap;
       --copies;
     }
     if (step % kInnocentEach == 0) {
-      innocent.push_back(hall.Ask(any(), 3000, seconds(10), 1000 + random()));
+      innocent.push_back(
+          hall.SendPrompt(any(), 3000, seconds(10), 1000 + random()));
     }
     at(hall);
-    hall.Pass(kStep);
+    hall.AdvanceTime(kStep);
   }
-  hall.Pass(seconds(12));
-  Outcome outcome{.ends = hall.ends().size(), .innocent = innocent.size()};
+  hall.AdvanceTime(seconds(12));
+  LoadResult outcome{.ends = hall.crash_times().size(),
+                     .innocent = innocent.size()};
   for (const RequestKey it : innocent) {
-    if (hall.answered().contains(it)) ++outcome.served;
+    if (hall.answered().contains(it)) ++outcome.answered;
   }
-  if (hall.ends().size() < 3) return outcome;
-  const Time last = hall.ends()[2] + kContact;
-  outcome.late = static_cast<std::size_t>(
-      std::count_if(hall.deadly_sends().begin(), hall.deadly_sends().end(),
-                    [&](Time it) { return it > last; }));
+  if (hall.crash_times().size() < 3) return outcome;
+  const Time last = hall.crash_times()[2] + kContact;
+  outcome.late = static_cast<std::size_t>(std::count_if(
+      hall.crashing_send_times().begin(), hall.crashing_send_times().end(),
+      [&](Time it) { return it > last; }));
   return outcome;
 }
 
 TEST_CASE("What has ended three is sent to none, by any of few daemons") {
-  const Outcome outcome = Play({.daemons = 8, .data_centres = 3, .engines = 18},
-                               milliseconds(60), 200);
+  const LoadResult outcome = RunLoad(
+      {.daemons = 8, .data_centres = 3, .engines = 18}, milliseconds(60), 200);
   CHECK(outcome.late == 0);
   // Each copy at a server of its own would end as many as there are copies.
   CHECK(outcome.ends <= 3);
-  CHECK(outcome.served == outcome.innocent);
+  CHECK(outcome.answered == outcome.innocent);
 }
 
 TEST_CASE("What has ended three is sent to none, by any of many daemons") {
-  const Outcome outcome = Play(
+  const LoadResult outcome = RunLoad(
       {.daemons = 40, .data_centres = 4, .engines = 32}, milliseconds(60), 200);
   CHECK(outcome.late == 0);
   CHECK(outcome.ends <= 3);
-  CHECK(outcome.served == outcome.innocent);
+  CHECK(outcome.answered == outcome.innocent);
 }
 
 TEST_CASE("Copies that come together don't end a server each") {
-  const Outcome outcome = Play({.daemons = 8, .data_centres = 3, .engines = 18},
-                               milliseconds(5), 60);
+  const LoadResult outcome = RunLoad(
+      {.daemons = 8, .data_centres = 3, .engines = 18}, milliseconds(5), 60);
   CHECK(outcome.late == 0);
   CHECK(outcome.ends <= 3);
 }
 
-void RestartAll(Hall& hall, int daemons) {
-  for (int i = 0; i < daemons; ++i) hall.Restart(i);
+void RestartAll(SimulatedFleet& hall, int daemons) {
+  for (int i = 0; i < daemons; ++i) hall.RestartDaemon(i);
 }
 
-constexpr HallOptions kFew{.daemons = 8, .data_centres = 3, .engines = 18};
+constexpr SimulatedFleetOptions kSmallFleet{
+    .daemons = 8, .data_centres = 3, .engines = 18};
 // From a server's end until all is noted: the verdict, the write, its way.
 constexpr Duration kNoted = milliseconds(300);
 
@@ -104,13 +108,14 @@
 TEST_CASE("What has ended three is held though all daemons are killed") {
   std::size_t ends = 0;
   Time kill = Time::max();
-  const Outcome outcome = Play(kFew, milliseconds(60), 200, [&](Hall& hall) {
-    if (hall.ends().size() > ends) kill = hall.now() + kNoted;
-    ends = hall.ends().size();
-    if (hall.now() < kill) return;
-    kill = Time::max();
-    RestartAll(hall, kFew.daemons);
-  });
+  const LoadResult outcome =
+      RunLoad(kSmallFleet, milliseconds(60), 200, [&](SimulatedFleet& hall) {
+        if (hall.crash_times().size() > ends) kill = hall.now() + kNoted;
+        ends = hall.crash_times().size();
+        if (hall.now() < kill) return;
+        kill = Time::max();
+        RestartAll(hall, kSmallFleet.daemons);
+      });
   CHECK(outcome.late == 0);
 }
 
@@ -121,14 +126,15 @@
     std::mt19937 random(seed);
     int kills = 3;
     Time kill = Time::min();
-    const Outcome outcome = Play(kFew, milliseconds(60), 120, [&](Hall& hall) {
-      if (kill == Time::min())
-        kill = hall.now() + milliseconds(random() % 1500);
-      if (hall.now() < kill || kills == 0) return;
-      --kills;
-      kill = hall.now() + milliseconds(500 + random() % 2500);
-      RestartAll(hall, kFew.daemons);
-    });
+    const LoadResult outcome =
+        RunLoad(kSmallFleet, milliseconds(60), 120, [&](SimulatedFleet& hall) {
+          if (kill == Time::min())
+            kill = hall.now() + milliseconds(random() % 1500);
+          if (hall.now() < kill || kills == 0) return;
+          --kills;
+          kill = hall.now() + milliseconds(500 + random() % 2500);
+          RestartAll(hall, kSmallFleet.daemons);
+        });
     INFO("seed " << seed);
     CHECK(outcome.late <= 3);
   }
@@ -137,37 +143,40 @@
 TEST_CASE("A store that is away for a while is told when it is back") {
   Time begun{};
   bool restarted = false;
-  const Outcome outcome = Play(kFew, milliseconds(60), 250, [&](Hall& hall) {
-    if (begun == Time{}) begun = hall.now();
-    hall.CutStore(hall.now() < begun + seconds(6));
-    if (restarted || hall.now() < begun + seconds(9)) return;
-    restarted = true;
-    RestartAll(hall, kFew.daemons);
-  });
+  const LoadResult outcome =
+      RunLoad(kSmallFleet, milliseconds(60), 250, [&](SimulatedFleet& hall) {
+        if (begun == Time{}) begun = hall.now();
+        hall.SetStoreUnreachable(hall.now() < begun + seconds(6));
+        if (restarted || hall.now() < begun + seconds(9)) return;
+        restarted = true;
+        RestartAll(hall, kSmallFleet.daemons);
+      });
   CHECK(restarted);
   CHECK(outcome.late == 0);
 }
 
 TEST_CASE("A daemon that starts late, and one that heard nothing, send none") {
   int restarts = 0;
-  const Outcome outcome = Play(kFew, milliseconds(60), 200, [&](Hall& hall) {
-    if (hall.ends().size() < 3 || ++restarts % 40 != 0) return;
-    hall.Restart(restarts / 40 % kFew.daemons);
-  });
+  const LoadResult outcome =
+      RunLoad(kSmallFleet, milliseconds(60), 200, [&](SimulatedFleet& hall) {
+        if (hall.crash_times().size() < 3 || ++restarts % 40 != 0) return;
+        hall.RestartDaemon(restarts / 40 % kSmallFleet.daemons);
+      });
   CHECK(outcome.late == 0);
 }
 
 // Requests that end nothing are not to be held for having been there: an answer
 // forgives, in the store too.
 TEST_CASE("What ended by itself leaves no trace once the others are answered") {
-  HallOptions options = kFew;
-  options.slack = true;
-  Hall hall(options);
-  hall.MakeDeadly(kDeadly);
-  for (int i = 0; i < 10; ++i) hall.Ask(i % 8, 3000, seconds(10), 100 + i);
-  hall.Ask(0, 2000, seconds(10), kDeadly);
-  hall.Pass(seconds(8));
-  CHECK(hall.ends().size() <= 2);
+  SimulatedFleetOptions options = kSmallFleet;
+  options.hold_slack_share = true;
+  SimulatedFleet hall(options);
+  hall.MakeCrashing(kDeadly);
+  for (int i = 0; i < 10; ++i)
+    hall.SendPrompt(i % 8, 3000, seconds(10), 100 + i);
+  hall.SendPrompt(0, 2000, seconds(10), kDeadly);
+  hall.AdvanceTime(seconds(8));
+  CHECK(hall.crash_times().size() <= 2);
   CHECK(hall.stored().size() == 1);
   CHECK(hall.state(3).quarantine.size() == 1);
   // Two ends and what was forgiven after each: not a write for each daemon.
--- a/serving/test/dispatch_test.cc
+++ b/serving/test/dispatch_test.cc
@@ -8,31 +8,31 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "hall.h"
 #include "scaleshed/serving/reducer.h"
+#include "simulated_fleet.h"
 
 namespace scaleshed::serving {
 namespace {
 
-using test::Hall;
+using test::SimulatedFleet;
 
 constexpr std::int64_t kShort = 5000;  // tokens
 constexpr std::int64_t kLong = 300'000;
 
-std::size_t MessagesIn(Hall& hall, Duration time) {
+std::size_t MessagesIn(SimulatedFleet& hall, Duration time) {
   const std::size_t before = hall.messages();
-  hall.Pass(time);
+  hall.AdvanceTime(time);
   return hall.messages() - before;
 }
 
 // Messages for each request beside those of idle daemons.
 double MessagesPerRequest(int daemons) {
-  Hall hall({.daemons = daemons, .data_centres = 5});
+  SimulatedFleet hall({.daemons = daemons, .data_centres = 5});
   // A multiple of all periods of what is told without requests.
   constexpr Duration kSpan = milliseconds(1600);
   const std::size_t idle = MessagesIn(hall, kSpan);
   constexpr int kRequests = 40;
-  for (int i = 0; i < kRequests; ++i) hall.Ask(i % daemons, kShort);
+  for (int i = 0; i < kRequests; ++i) hall.SendPrompt(i % daemons, kShort);
   const std::size_t busy = MessagesIn(hall, kSpan);
   CHECK(hall.waits().size() == kRequests);
   return (static_cast<double>(busy) - static_cast<double>(idle)) / kRequests;
@@ -46,7 +46,7 @@
 }
 
 TEST_CASE("Who lives is told inside data centres and by few") {
-  Hall hall({.daemons = 160, .data_centres = 5});
+  SimulatedFleet hall({.daemons = 160, .data_centres = 5});
   const std::size_t all_to_all = 160 * 159;
   // Ten tell all, the others 31 and two placers.
   CHECK(MessagesIn(hall, milliseconds(800)) < all_to_all / 3);
@@ -55,26 +55,28 @@
 // Hubs told those of other data centres so rarely, as these don't tell them
 // anything, that each took them for gone every two seconds.
 TEST_CASE("Who is told that another lives does not doubt it in between") {
-  Hall hall({.daemons = 60, .data_centres = 5});
-  const std::size_t lines = hall.lines("member");
-  hall.Pass(seconds(6));
-  CHECK(hall.lines("member") == lines);
+  SimulatedFleet hall({.daemons = 60, .data_centres = 5});
+  const std::size_t lines = hall.log_line_count("member");
+  hall.AdvanceTime(seconds(6));
+  CHECK(hall.log_line_count("member") == lines);
 }
 
 TEST_CASE("Up to sixteen daemons each hears all and places its own") {
-  Hall hall({.daemons = 16, .data_centres = 4});
-  CHECK(hall.state(0).dispatch.all_place);
+  SimulatedFleet hall({.daemons = 16, .data_centres = 4});
+  CHECK(hall.state(0).dispatch.place_locally);
   CHECK(hall.FirstPlacer() == -1);
-  hall.Ask(3, kShort);
-  hall.Pass(milliseconds(50));
+  hall.SendPrompt(3, kShort);
+  hall.AdvanceTime(milliseconds(50));
   for (int i = 0; i < 16; ++i) {
     if (i == 3) continue;
-    CHECK(hall.state(i).members.at(Hall::PeerOf(3)).snapshot.works.size() == 1);
+    CHECK(hall.state(i)
+              .members.at(SimulatedFleet::PeerOf(3))
+              .snapshot.active_requests.size() == 1);
   }
 }
 
 TEST_CASE("All agree on the placers, which are strong machines") {
-  Hall hall({.daemons = 60, .data_centres = 5});
+  SimulatedFleet hall({.daemons = 60, .data_centres = 5});
   const auto placers = hall.state(0).dispatch.placers;
   REQUIRE(placers.size() == 2);
   // A data centre that is cut off takes one of them only.
@@ -87,9 +89,9 @@
 }
 
 TEST_CASE("Prompts of one moment don't meet on one engine") {
-  Hall hall({.daemons = 60, .data_centres = 5, .engines = 30});
-  for (int i = 0; i < 60; ++i) hall.Ask(i, kShort);
-  hall.Pass(milliseconds(60));
+  SimulatedFleet hall({.daemons = 60, .data_centres = 5, .engines = 30});
+  for (int i = 0; i < 60; ++i) hall.SendPrompt(i, kShort);
+  hall.AdvanceTime(milliseconds(60));
   CHECK(hall.waits().size() == 60);
   int most = 0;
   for (const auto& [engine, n] : hall.sends()) most = std::max(most, n);
@@ -98,13 +100,13 @@
 }
 
 TEST_CASE("Long prompts go in one order over all daemons") {
-  Hall hall({.daemons = 40, .data_centres = 4, .engines = 8});
+  SimulatedFleet hall({.daemons = 40, .data_centres = 4, .engines = 8});
   std::vector<RequestKey> keys;
   for (int i = 0; i < 6; ++i) {
-    keys.push_back(hall.Ask(i * 5, kLong));
-    hall.Pass(milliseconds(20));
+    keys.push_back(hall.SendPrompt(i * 5, kLong));
+    hall.AdvanceTime(milliseconds(20));
   }
-  hall.Pass(seconds(6));
+  hall.AdvanceTime(seconds(6));
   REQUIRE(hall.waits().size() == 6);
   // All alike: by arrival, so none that came later was sent before.
   std::vector<Duration> sent;
@@ -116,31 +118,32 @@
 
 // A placer that stops in any way costs time, and no prompt.
 TEST_CASE("A frozen placer is passed over") {
-  Hall hall({.daemons = 40, .data_centres = 4});
+  SimulatedFleet hall({.daemons = 40, .data_centres = 4});
   const int first = hall.FirstPlacer();
   REQUIRE(first >= 0);
-  hall.Freeze(first);
+  hall.FreezeDaemon(first);
   std::vector<RequestKey> keys;
   for (int i = 0; i < 40; ++i) {
-    if (i != first) keys.push_back(hall.Ask(i, kShort));
+    if (i != first) keys.push_back(hall.SendPrompt(i, kShort));
   }
-  hall.Pass(milliseconds(80));
+  hall.AdvanceTime(milliseconds(80));
   for (const RequestKey it : keys) REQUIRE(hall.waits().contains(it));
   // Once it is known to be gone, another one places, and nobody waits for it.
-  hall.Pass(seconds(3));
+  hall.AdvanceTime(seconds(3));
   const int other = first == 0 ? 1 : 0;
-  CHECK(hall.state(other).dispatch.placers.front() != Hall::PeerOf(first));
-  const RequestKey later = hall.Ask(other, kShort);
-  hall.Pass(milliseconds(20));
+  CHECK(hall.state(other).dispatch.placers.front() !=
+        SimulatedFleet::PeerOf(first));
+  const RequestKey later = hall.SendPrompt(other, kShort);
+  hall.AdvanceTime(milliseconds(20));
   CHECK(hall.waits().contains(later));
 }
 
-std::set<int> FreezePlacers(Hall& hall) {
+std::set<int> FreezePlacers(SimulatedFleet& hall) {
   std::set<int> gone;
   for (const std::string& it : hall.state(0).dispatch.placers) {
     gone.insert(std::stoi(it.substr(1)));
   }
-  for (const int it : gone) hall.Freeze(it);
+  for (const int it : gone) hall.FreezeDaemon(it);
   return gone;
 }
 
@@ -148,61 +151,62 @@
 // were gone was known after 2 s; until then each daemon placed alone, and where
 // a prompt went depended on what that daemon itself had.
 TEST_CASE("A hub stands in at once for placers that died together") {
-  Hall hall({.daemons = 40, .data_centres = 4, .engines = 24});
+  SimulatedFleet hall({.daemons = 40, .data_centres = 4, .engines = 24});
   // Before, what others have at engines is known to the placers only.
-  for (int i = 20; i < 30; ++i) hall.Ask(i, kLong);
-  hall.Pass(milliseconds(20));
+  for (int i = 20; i < 30; ++i) hall.SendPrompt(i, kLong);
+  hall.AdvanceTime(milliseconds(20));
   const auto gone = FreezePlacers(hall);
   std::vector<RequestKey> keys;
   for (int i = 0; i < 40; ++i) {
-    if (!gone.contains(i)) keys.push_back(hall.Ask(i, kShort));
+    if (!gone.contains(i)) keys.push_back(hall.SendPrompt(i, kShort));
   }
-  hall.Pass(milliseconds(80));
+  hall.AdvanceTime(milliseconds(80));
   for (const RequestKey it : keys) REQUIRE(hall.waits().contains(it));
-  CHECK(hall.lines("places_alone") == 0);
-  CHECK(hall.lines("stands_in") == 1);
-  hall.Pass(milliseconds(60));
+  CHECK(hall.log_line_count("places_alone") == 0);
+  CHECK(hall.log_line_count("stands_in") == 1);
+  hall.AdvanceTime(milliseconds(60));
   // It is told what all have, and who comes now doesn't look for it.
   int standing = -1;
   for (int i = 0; i < 40; ++i) {
-    if (!gone.contains(i) && hall.state(i).told_header.places) standing = i;
+    if (!gone.contains(i) && hall.state(i).published_header.places)
+      standing = i;
   }
   REQUIRE(standing >= 0);
   std::size_t works = 0;
   for (const auto& [peer, member] : hall.state(standing).members) {
-    works += member.snapshot.works.size();
+    works += member.snapshot.active_requests.size();
   }
   CHECK(works > keys.size() / 2);
 }
 
 TEST_CASE("Without any hub a daemon places alone, not all on one engine") {
-  Hall hall({.daemons = 40, .data_centres = 4, .engines = 24});
+  SimulatedFleet hall({.daemons = 40, .data_centres = 4, .engines = 24});
   std::set<int> gone;
   for (int i = 0; i < 40; ++i) {
     if (hall.state(i).dispatch.is_hub) gone.insert(i);
   }
-  for (const int it : gone) hall.Freeze(it);
+  for (const int it : gone) hall.FreezeDaemon(it);
   std::vector<RequestKey> keys;
   for (int i = 0; i < 40; ++i) {
-    if (!gone.contains(i)) keys.push_back(hall.Ask(i, kShort));
+    if (!gone.contains(i)) keys.push_back(hall.SendPrompt(i, kShort));
   }
-  hall.Pass(milliseconds(120));
+  hall.AdvanceTime(milliseconds(120));
   for (const RequestKey it : keys) REQUIRE(hall.waits().contains(it));
   CHECK(hall.sends().size() > 12);
 }
 
 TEST_CASE("A prompt that waits for its turn outlives the placer it asked") {
-  Hall hall({.daemons = 40, .data_centres = 4, .engines = 8});
+  SimulatedFleet hall({.daemons = 40, .data_centres = 4, .engines = 8});
   const int first = hall.FirstPlacer();
   int at = 0;
   std::vector<RequestKey> keys;
   for (int i = 0; i < 4; ++i) {
     if (at == first) ++at;
-    keys.push_back(hall.Ask(at++, kLong));
+    keys.push_back(hall.SendPrompt(at++, kLong));
   }
-  hall.Pass(milliseconds(30));
-  hall.Freeze(first);
-  hall.Pass(seconds(6));
+  hall.AdvanceTime(milliseconds(30));
+  hall.FreezeDaemon(first);
+  hall.AdvanceTime(seconds(6));
   for (const RequestKey it : keys) CHECK(hall.waits().contains(it));
 }
 
@@ -211,11 +215,11 @@
 // took that for the first time and kept it out for 0.5 s: 18 prompts of 6 s
 // were lost there, each for more than a second.
 TEST_CASE("An engine that hangs is met by few, and comes back once it works") {
-  Hall hall({.daemons = 40, .data_centres = 4, .engines = 12});
+  SimulatedFleet hall({.daemons = 40, .data_centres = 4, .engines = 12});
   const auto load = [&](Duration time) {
     for (Duration at{}; at < time; at += milliseconds(20)) {
-      hall.Ask(static_cast<int>(at / milliseconds(20)) % 40, kShort);
-      hall.Pass(milliseconds(20));
+      hall.SendPrompt(static_cast<int>(at / milliseconds(20)) % 40, kShort);
+      hall.AdvanceTime(milliseconds(20));
     }
   };
   load(seconds(1));
@@ -225,14 +229,14 @@
     if (engine.empty() || n > hall.sends().at(engine)) engine = name;
   }
   const auto sent = [&] { return hall.sends().at(engine); };
-  hall.Hang(engine);
+  hall.HangEngine(engine);
   // Until the first of them is given up, more are sent.
   load(seconds(2));
   const int before = sent();
   load(seconds(6));
   CHECK(sent() - before <= 4);
   // It is kept out 8 s at most, and then used as before.
-  hall.Hang(engine, false);
+  hall.HangEngine(engine, false);
   load(seconds(9));
   const int back = sent();
   load(seconds(1));
@@ -240,8 +244,8 @@
 }
 
 TEST_CASE("Look-ups name those of the own data centre, at most 64") {
-  Hall hall({.daemons = 280, .data_centres = 4, .engines = 4});
-  const auto addresses = LookUp(hall.state(1)).addresses;
+  SimulatedFleet hall({.daemons = 280, .data_centres = 4, .engines = 4});
+  const auto addresses = LookUpClientAddresses(hall.state(1)).addresses;
   CHECK(addresses.size() == 64);
   for (const std::string& it : addresses) {
     CHECK(std::stoi(it.substr(1)) % 4 == 1);
--- a/serving/test/drawn_failures_test.cc
+++ b/serving/test/drawn_failures_test.cc
@@ -37,14 +37,14 @@
         Ask(step);
         return;
       case 3:
-        daemon_.Pass(milliseconds(1 + step.first));
+        daemon_.AdvanceTime(milliseconds(1 + step.first));
         return;
       case 4:
-        daemon_.Confirm();
+        daemon_.ConfirmStore();
         return;
       case 5:
-        daemon_.List(step.first % 2 == 0 ? "llm" : "app", step.second % 6,
-                     step.second % 5 == 0);
+        daemon_.ListBackend(step.first % 2 == 0 ? "llm" : "app",
+                            step.second % 6, step.second % 5 == 0);
         return;
       case 6:
         daemon_.Feed(
@@ -67,7 +67,7 @@
           const RequestKey key = Pick(step.first);
           ended_.insert(key);
           open_.erase(key);
-          daemon_.Feed(ClientGone{.key = key});
+          daemon_.Feed(ClientDisconnected{.key = key});
         }
         return;
       default:
@@ -77,7 +77,7 @@
 
   // All ends with time.
   void Finish() {
-    daemon_.Pass(seconds(40));
+    daemon_.AdvanceTime(seconds(40));
     for (const RequestKey it : open_) {
       Violate("request " + std::to_string(it) + " never ended");
     }
@@ -96,7 +96,7 @@
     const std::int64_t prompt =
         kPrompts[static_cast<std::size_t>(step.second) % kPrompts.size()];
     routes_[daemon_.next_key()] = route;
-    const RequestKey key = daemon_.Ask(route, prompt, seconds(15));
+    const RequestKey key = daemon_.SendRequest(route, prompt, seconds(15));
     if (!ended_.contains(key)) open_.insert(key);
   }
 
@@ -107,8 +107,9 @@
     std::advance(it, step.first % static_cast<int>(orders_.size()));
     const auto [attempt, index] = *it;
     orders_.erase(it);
-    daemon_.Feed(MemoryAnswered{
-        .attempt = attempt, .index = index, .granted = step.second % 8 != 0});
+    daemon_.Feed(MemoryReservationAnswered{.attempt = attempt,
+                                           .helper_index = index,
+                                           .granted = step.second % 8 != 0});
   }
 
   // Some engine says how it does.
@@ -117,8 +118,8 @@
     if (backends.empty()) return;
     auto it = backends.begin();
     std::advance(it, step.first % static_cast<int>(backends.size()));
-    daemon_.Feed(
-        ReportSeen{.backend = it->second.id, .pace = 1.0 + step.second % 4});
+    daemon_.Feed(EngineReportReceived{.backend = it->second.id,
+                                      .slowdown = 1.0 + step.second % 4});
   }
 
   RequestKey Pick(int draw) const {
@@ -165,7 +166,7 @@
         break;
       case 4:
         daemon_.Feed(AttemptAnswered{
-            .attempt = attempt, .kind = AnswerKind::kGone, .status = 421});
+            .attempt = attempt, .kind = AnswerKind::kReplaced, .status = 421});
         break;
       case 5:
         daemon_.Feed(
@@ -173,8 +174,8 @@
         break;
       case 6:
         Ran(key);
-        daemon_.Feed(
-            AttemptFailed{.attempt = attempt, .error = AttemptError::kCut});
+        daemon_.Feed(AttemptFailed{.attempt = attempt,
+                                   .error = AttemptError::kInterrupted});
         break;
       default:
         Ran(key);
@@ -190,15 +191,15 @@
     if (step.first % 3 == 0) {
       snapshot.waiting = {{.id = 1,
                            .service = "llm",
-                           .turn = daemon_.now(),
-                           .read = seconds(step.second % 30)}};
+                           .queue_key = daemon_.now(),
+                           .prefill_time = seconds(step.second % 30)}};
     }
     if (step.first % 5 == 0) {
-      snapshot.works = {{.id = 1,
-                         .backend = HashBytes("llm0"),
-                         .helpers = {HashBytes("llm1")},
-                         .prompt_tokens = step.second * 1000,
-                         .started = daemon_.now()}};
+      snapshot.active_requests = {{.id = 1,
+                                   .backend = HashBytes("llm0"),
+                                   .helpers = {HashBytes("llm1")},
+                                   .prompt_tokens = step.second * 1000,
+                                   .started_at = daemon_.now()}};
     }
     daemon_.Feed(SnapshotReceived{snapshot});
   }
@@ -217,7 +218,7 @@
                      },
                      [&](const DeliverAnswer& effect) { End(effect.key); },
                      [&](const EndStream& effect) { End(effect.key); },
-                     [&](const BreakAnswer& effect) { End(effect.key); },
+                     [&](const AbortResponse& effect) { End(effect.key); },
                      [&](const Refuse& effect) {
                        const bool promise = effect.status == 503 ||
                                             effect.status == 429 ||
@@ -228,14 +229,14 @@
                        End(effect.key);
                      },
                      [&](const ReserveMemory& effect) {
-                       tickets_.insert(effect.ticket);
-                       orders_.insert({effect.attempt, effect.index});
-                       if (effect.hold > milliseconds(4000)) {
+                       tickets_.insert(effect.reservation_id);
+                       orders_.insert({effect.attempt, effect.helper_index});
+                       if (effect.lease_duration > milliseconds(4000)) {
                          Violate("memory held for too long");
                        }
                      },
                      [&](const ReleaseMemory& effect) {
-                       tickets_.erase(effect.ticket);
+                       tickets_.erase(effect.reservation_id);
                      },
                      [](const auto&) {}},
           it);
@@ -253,7 +254,7 @@
     if (it == daemon_.state().backends.end() || it->second.server.leaving) {
       Violate("sent to a leaving backend server");
     }
-    for (const Helper& helper : effect.helpers) {
+    for (const PrefillHelper& helper : effect.helpers) {
       const std::string id = helper.address.substr(0, helper.address.find(':'));
       const auto found = daemon_.state().backends.find(id);
       if (found == daemon_.state().backends.end() ||
--- a/serving/test/early_requests_test.cc
+++ b/serving/test/early_requests_test.cc
@@ -24,23 +24,24 @@
     return Reduce(state_, {.now = kStart + since, .body = std::move(body)});
   }
   Effects Ask(Duration since, RequestKey key) {
-    return At(since, RequestArrived{.key = key,
-                                    .facts = {.id = "r" + std::to_string(key),
-                                              .host = "h",
-                                              .path = "/safe/x",
-                                              .keys = {"k"},
-                                              .deadline = seconds(4)}});
+    return At(since,
+              RequestArrived{.key = key,
+                             .metadata = {.id = "r" + std::to_string(key),
+                                          .host = "h",
+                                          .path = "/safe/x",
+                                          .keys = {"k"},
+                                          .deadline = seconds(4)}});
   }
   // What the store holds, as it was so long after the start.
   Effects Learn(Duration since) {
-    At(since, ConfigurationSeen{.configuration = MakeConfiguration(1),
-                                .asked = kStart + since});
+    At(since, ConfigurationReceived{.configuration = MakeConfiguration(1),
+                                    .queried_at = kStart + since});
     return At(since, BackendsListed{.backends = {{.id = "app0",
                                                   .service = "app",
                                                   .address = "app0:1",
                                                   .slots = 8,
                                                   .revision = {.number = 2}}},
-                                    .asked = kStart + since});
+                                    .queried_at = kStart + since});
   }
   const State& state() const { return state_; }
 
@@ -92,7 +93,7 @@
 TEST_CASE("Whoever leaves meanwhile is forgotten") {
   Newcomer daemon;
   daemon.Ask(milliseconds(20), 1);
-  daemon.At(milliseconds(30), ClientGone{.key = 1});
+  daemon.At(milliseconds(30), ClientDisconnected{.key = 1});
   CHECK(CountOf<StartAttempt>(daemon.Learn(milliseconds(200))) == 0);
   CHECK(daemon.state().requests.empty());
 }
--- a/serving/test/fleet_repeats_test.cc
+++ b/serving/test/fleet_repeats_test.cc
@@ -23,22 +23,23 @@
   Declined()
       : state_({.instance = "1.1.1.1:1",
                 .peer_address = "1.1.1.1:2",
-                .repeats = {.ratio = 0, .slack = kSlack, .window = kWindow}}) {
-    test::HoldSlack(state_.slack);
-    Feed(ConfigurationSeen{.configuration = MakeConfiguration(1),
-                           .asked = now_});
+                .retry_budget = {
+                    .ratio = 0, .slack = kSlack, .window = kWindow}}) {
+    test::HoldSlack(state_.slack_share);
+    Feed(ConfigurationReceived{.configuration = MakeConfiguration(1),
+                               .queried_at = now_});
     Feed(BackendsListed{.backends = {{.id = "app0",
                                       .service = "app",
                                       .address = "app0:1",
                                       .slots = 1000,
                                       .revision = {.number = 2}}},
-                        .asked = now_});
+                        .queried_at = now_});
   }
 
   // Everything it knows of the store is the newest, or may be old.
   void Prove() {
-    Feed(ConfigurationConfirmed{.revision = {.number = 1}, .asked = now_});
-    Feed(BackendsConfirmed{.asked = now_});
+    Feed(ConfigurationConfirmed{.revision = {.number = 1}, .queried_at = now_});
+    Feed(BackendsConfirmed{.queried_at = now_});
   }
   void Pass(Duration time, bool proved) {
     const Time until = now_ + time;
@@ -46,18 +47,18 @@
       now_ += milliseconds(10);
       if (proved) Prove();
       // The store speaks, so that what is old isn't gone by.
-      Feed(StoreHeard{});
+      Feed(StoreResponded{});
       Feed(Tick{});
     }
   }
   void Ask() {
     const RequestKey key = ++last_key_;
     Feed(RequestArrived{.key = key,
-                        .facts = {.id = "r" + std::to_string(key),
-                                  .host = "h",
-                                  .path = "/safe/x",
-                                  .keys = {"k"},
-                                  .deadline = seconds(15)}});
+                        .metadata = {.id = "r" + std::to_string(key),
+                                     .host = "h",
+                                     .path = "/safe/x",
+                                     .keys = {"k"},
+                                     .deadline = seconds(15)}});
   }
   // The first of those underway.
   void Decline(std::size_t n) {
--- a/serving/test/innocent_requests_test.cc
+++ b/serving/test/innocent_requests_test.cc
@@ -2,7 +2,7 @@
 // they ended servers: long ones alone, without helpers, at whichever engine had
 // the fewest requests, or held until a copy had ended.
 
-#include "hall_load.h"
+#include "simulated_fleet_load.h"
 
 namespace scaleshed::serving::test {
 namespace {
@@ -17,10 +17,10 @@
 // Long prompts, hot ones that are asked for again and again, and others, before
 // engines that reset two answers in five. `known`: what is asked for is told by
 // its content, by which doubts go.
-Innocent PlayResets(HallOptions options, bool known) {
-  options.slack = true;
-  options.resets = 0.4;
-  Hall hall(options);
+Innocent PlayResets(SimulatedFleetOptions options, bool known) {
+  options.hold_slack_share = true;
+  options.stream_reset_share = 0.4;
+  SimulatedFleet hall(options);
   std::mt19937_64 random(3);
   std::vector<RequestKey> asked;
   std::vector<RequestKey> long_ones;
@@ -38,15 +38,15 @@
       // Each second one is about the same.
       const std::uint64_t it = step % 200 == 0 ? kHot : ++next;
       long_ones.push_back(
-          hall.Ask(any(), kLongPrompt, seconds(10), content(it)));
+          hall.SendPrompt(any(), kLongPrompt, seconds(10), content(it)));
     }
     if (step % 5 == 0) {
       const std::uint64_t it = random() % 3 == 0 ? kHot + 1 : ++next;
-      asked.push_back(hall.Ask(any(), 3000, seconds(10), content(it)));
+      asked.push_back(hall.SendPrompt(any(), 3000, seconds(10), content(it)));
     }
-    hall.Pass(milliseconds(5));
+    hall.AdvanceTime(milliseconds(5));
   }
-  hall.Pass(seconds(12));
+  hall.AdvanceTime(seconds(12));
   Innocent outcome;
   for (const RequestKey it : long_ones) {
     for (const std::size_t helpers : hall.helpers().at(it)) {
@@ -68,7 +68,7 @@
          ", their helpers " + std::to_string(it.helpers);
 }
 
-void CheckAsWithoutDoubt(const HallOptions& options) {
+void CheckAsWithoutDoubt(const SimulatedFleetOptions& options) {
   const Innocent doubted = PlayResets(options, /*known=*/true);
   const Innocent plain = PlayResets(options, /*known=*/false);
   INFO("with contents: " << TextOf(doubted));
--- a/serving/test/life_checks_test.cc
+++ b/serving/test/life_checks_test.cc
@@ -9,7 +9,7 @@
 std::string OutcomeIn(const Effects& effects) {
   for (const Effect& it : effects) {
     const auto* line = std::get_if<LogDecision>(&it);
-    if (line == nullptr || line->what != "life_checked") continue;
+    if (line == nullptr || line->event != "life_checked") continue;
     for (const auto& [name, value] : line->fields) {
       if (name == "outcome") return value;
     }
@@ -19,11 +19,11 @@
 
 // A send that was cut, and the backend server that it was at.
 BackendId CutOne(Daemon& daemon) {
-  daemon.Ask("stream");
-  const auto* sent = daemon.First<StartAttempt>();
+  daemon.SendRequest("stream");
+  const auto* sent = daemon.FirstEffect<StartAttempt>();
   const BackendId id = daemon.state().backends.at(sent->instance).id;
   daemon.Feed(AttemptFailed{.attempt = sent->attempt});
-  const auto* asked = daemon.First<AskLife>();
+  const auto* asked = daemon.FirstEffect<ProbeLiveness>();
   REQUIRE(asked != nullptr);
   CHECK(asked->backend == id);
   return id;
@@ -32,27 +32,27 @@
 TEST_CASE("One that refuses twice after an answer broke off has ended") {
   Daemon daemon;
   const BackendId id = CutOne(daemon);
-  daemon.Feed(LifeSeen{.backend = id, .sign = LifeSign::kRefused});
+  daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
   CHECK(OutcomeIn(daemon.effects()).empty());
-  daemon.Pass(milliseconds(80));
-  REQUIRE(daemon.First<AskLife>() != nullptr);
-  daemon.Feed(LifeSeen{.backend = id, .sign = LifeSign::kRefused});
+  daemon.AdvanceTime(milliseconds(80));
+  REQUIRE(daemon.FirstEffect<ProbeLiveness>() != nullptr);
+  daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
   CHECK(OutcomeIn(daemon.effects()) == "over");
 }
 
 TEST_CASE("One that speaks after an answer broke off lives") {
   Daemon daemon;
   const BackendId id = CutOne(daemon);
-  daemon.Feed(LifeSeen{.backend = id, .sign = LifeSign::kRefused});
-  daemon.Pass(milliseconds(80));
-  daemon.Feed(LifeSeen{.backend = id, .sign = LifeSign::kAnswered});
+  daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
+  daemon.AdvanceTime(milliseconds(80));
+  daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kAlive});
   CHECK(OutcomeIn(daemon.effects()) == "lives");
 }
 
 TEST_CASE("One that is full and goes on with other work lives") {
   Daemon daemon;
   const BackendId id = CutOne(daemon);
-  daemon.Pass(milliseconds(40));
+  daemon.AdvanceTime(milliseconds(40));
   // Both the send made again and a new one may be at another one: what counts
   // is that anything of this one comes.
   AttemptId there = 0;
@@ -65,13 +65,13 @@
       }
     }
   });
-  daemon.Confirm();
-  daemon.Pass(seconds(1));
-  daemon.Confirm();
-  for (int i = 0; i < 100 && there == 0; ++i) daemon.Ask("stream");
+  daemon.ConfirmStore();
+  daemon.AdvanceTime(seconds(1));
+  daemon.ConfirmStore();
+  for (int i = 0; i < 100 && there == 0; ++i) daemon.SendRequest("stream");
   REQUIRE(there != 0);
   daemon.Feed(StreamEvent{.attempt = there, .id = "1", .bytes = "x"});
-  daemon.Feed(LifeSeen{.backend = id, .sign = LifeSign::kRefused});
+  daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
   CHECK(OutcomeIn(daemon.effects()) == "lives");
 }
 
@@ -80,14 +80,15 @@
   Daemon daemon;
   const BackendId id = CutOne(daemon);
   int asked = 0;
-  for (int i = 0; i < 40 && daemon.state().life_checks.contains(id); ++i) {
-    daemon.Feed(LifeSeen{.backend = id, .sign = LifeSign::kNothing});
-    daemon.Pass(milliseconds(200));
-    if (daemon.First<AskLife>() != nullptr) ++asked;
+  for (int i = 0; i < 40 && daemon.state().liveness_checks.contains(id); ++i) {
+    daemon.Feed(
+        LivenessProbed{.backend = id, .result = ProbeResult::kInconclusive});
+    daemon.AdvanceTime(milliseconds(200));
+    if (daemon.FirstEffect<ProbeLiveness>() != nullptr) ++asked;
   }
   CHECK(asked > 5);
-  CHECK_FALSE(daemon.state().life_checks.contains(id));
-  CHECK(daemon.state().ended_lives.empty());
+  CHECK_FALSE(daemon.state().liveness_checks.contains(id));
+  CHECK(daemon.state().ended_incarnations.empty());
 }
 
 }  // namespace
--- a/serving/test/placement_test.cc
+++ b/serving/test/placement_test.cc
@@ -11,12 +11,12 @@
 const EngineTiming kTiming{.slots = 16,
                            .memory_tokens = 450'000,
                            .step_ms = 0.925,
-                           .writer_ms = 0.00483,
+                           .step_ms_per_decoder = 0.00483,
                            .context_ms_per_1000 = 0.00254,
-                           .read_tokens_per_ms = 256,
-                           .pairs_ms_per_million = 0.0917,
+                           .prefill_tokens_per_ms = 256,
+                           .attention_ms_per_million_pairs = 0.0917,
                            .tokens_per_event = 46,
-                           .chunk_tokens = 2048,
+                           .prefill_chunk_tokens = 2048,
                            .hop_ms = 0.1};
 const Time kNow{seconds(100)};
 
@@ -26,55 +26,56 @@
   return engines;
 }
 
-std::vector<EngineView> View(std::size_t n, const std::vector<Work>& works) {
-  std::vector<const Work*> pointers;
+std::vector<EngineView> View(std::size_t n,
+                             const std::vector<ActiveRequest>& works) {
+  std::vector<const ActiveRequest*> pointers;
   pointers.reserve(works.size());
-  for (const Work& it : works) pointers.push_back(&it);
-  return ViewPool(kTiming, Engines(n), pointers, kNow);
+  for (const ActiveRequest& it : works) pointers.push_back(&it);
+  return BuildPoolView(kTiming, Engines(n), pointers, kNow);
 }
 
 PlacementQuery Prompt(std::int64_t tokens) {
   return {.prompt_tokens = tokens, .answer_tokens = 1000};
 }
 
-Work Reading(BackendId backend, std::vector<BackendId> helpers,
-             std::int64_t tokens) {
+ActiveRequest Reading(BackendId backend, std::vector<BackendId> helpers,
+                      std::int64_t tokens) {
   return {.backend = backend,
           .helpers = std::move(helpers),
           .prompt_tokens = tokens,
           .answer_tokens = 1000,
-          .started = kNow};
+          .started_at = kNow};
 }
 
-Work Writing(BackendId backend, std::int64_t tokens,
-             Duration longest_pause = milliseconds(800)) {
-  Work work = Reading(backend, {}, tokens);
-  work.writing = true;
-  work.longest_pause = longest_pause;
+ActiveRequest Writing(BackendId backend, std::int64_t tokens,
+                      Duration longest_pause = milliseconds(800)) {
+  ActiveRequest work = Reading(backend, {}, tokens);
+  work.decoding = true;
+  work.max_event_gap = longest_pause;
   return work;
 }
 
 TEST_CASE("Reading takes what the published formula says") {
-  CHECK(ReadTime(kTiming, 256).count() / 1000 == 1);
+  CHECK(PrefillTime(kTiming, 256).count() / 1000 == 1);
   // 210,000 / 256 + 0.0917 x 210,000^2 / 2 / 10^6.
-  CHECK(ReadTime(kTiming, 210'000).count() / 1000 == 2842);
+  CHECK(PrefillTime(kTiming, 210'000).count() / 1000 == 2842);
 }
 
 TEST_CASE("Short prompts fill the first engines, long ones keep off them") {
-  std::vector<Work> works;
+  std::vector<ActiveRequest> works;
   std::set<BackendId> used;
   for (int i = 0; i < 20; ++i) {
-    const auto placing = Place(kTiming, View(18, works), Prompt(2000));
-    const auto* placed = std::get_if<Placed>(&placing);
+    const auto placing = PlacePrompt(kTiming, View(18, works), Prompt(2000));
+    const auto* placed = std::get_if<Placement>(&placing);
     REQUIRE(placed != nullptr);
     CHECK(placed->helpers.empty());
     used.insert(placed->backend);
-    Work work = Writing(placed->backend, 2000, milliseconds(200));
+    ActiveRequest work = Writing(placed->backend, 2000, milliseconds(200));
     works.push_back(work);
   }
   CHECK(used == std::set<BackendId>{1, 2});
-  const auto placing = Place(kTiming, View(18, works), Prompt(210'000));
-  const auto* placed = std::get_if<Placed>(&placing);
+  const auto placing = PlacePrompt(kTiming, View(18, works), Prompt(210'000));
+  const auto* placed = std::get_if<Placement>(&placing);
   REQUIRE(placed != nullptr);
   CHECK(placed->helpers.size() >= 10);
   CHECK_FALSE(used.contains(placed->backend));
@@ -82,34 +83,34 @@
 }
 
 TEST_CASE("No part is begun where another is not read yet") {
-  const auto first = Place(kTiming, View(8, {}), Prompt(210'000));
-  const auto& placed = std::get<Placed>(first);
-  const std::vector<Work> works{
+  const auto first = PlacePrompt(kTiming, View(8, {}), Prompt(210'000));
+  const auto& placed = std::get<Placement>(first);
+  const std::vector<ActiveRequest> works{
       Reading(placed.backend, placed.helpers, 210'000)};
-  const auto second = Place(kTiming, View(8, works), Prompt(210'000));
-  CHECK(std::holds_alternative<NoRoomNow>(second));
+  const auto second = PlacePrompt(kTiming, View(8, works), Prompt(210'000));
+  CHECK(std::holds_alternative<NoCapacityNow>(second));
 }
 
 TEST_CASE("Parts keep off engines whose writers would pause too long") {
-  std::vector<Work> works;
+  std::vector<ActiveRequest> works;
   // Reviews write on engine 5 and may pause for half a second at most.
   works.push_back(Writing(5, 45'000, milliseconds(500)));
-  const auto placing = Place(kTiming, View(6, works), Prompt(400'000));
-  const auto* placed = std::get_if<Placed>(&placing);
+  const auto placing = PlacePrompt(kTiming, View(6, works), Prompt(400'000));
+  const auto* placed = std::get_if<Placement>(&placing);
   REQUIRE(placed != nullptr);
   for (const BackendId it : placed->helpers) CHECK(it != 5);
 }
 
 TEST_CASE("A helper is free when its part is read, before the answer begins") {
   // 202 ms on each of 14 engines; engine 1 is kept for short prompts.
-  Work work =
+  ActiveRequest work =
       Reading(2, {3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, 210'000);
-  work.started = kNow - milliseconds(150);
-  CHECK(std::holds_alternative<NoRoomNow>(
-      Place(kTiming, View(15, {work}), Prompt(150'000))));
-  work.started = kNow - milliseconds(240);
-  const auto placing = Place(kTiming, View(15, {work}), Prompt(150'000));
-  const auto* placed = std::get_if<Placed>(&placing);
+  work.started_at = kNow - milliseconds(150);
+  CHECK(std::holds_alternative<NoCapacityNow>(
+      PlacePrompt(kTiming, View(15, {work}), Prompt(150'000))));
+  work.started_at = kNow - milliseconds(240);
+  const auto placing = PlacePrompt(kTiming, View(15, {work}), Prompt(150'000));
+  const auto* placed = std::get_if<Placement>(&placing);
   REQUIRE(placed != nullptr);
   CHECK(placed->backend != 2);
   for (const BackendId it : placed->helpers) CHECK(it != 2);
@@ -118,37 +119,37 @@
 TEST_CASE("Fewer engines, whose parts are larger, keep the pauses too") {
   // Nine of the engines are free. A ninth of this prompt takes 496 ms to read,
   // a fourteenth would take 319.
-  std::vector<Work> works{Reading(2, {3, 4, 5, 6}, 600'000)};
+  std::vector<ActiveRequest> works{Reading(2, {3, 4, 5, 6}, 600'000)};
   works.push_back(Writing(15, 45'000, milliseconds(500)));
-  const auto placing = Place(kTiming, View(15, works), Prompt(272'000));
-  CHECK(std::holds_alternative<NoRoomNow>(placing));
+  const auto placing = PlacePrompt(kTiming, View(15, works), Prompt(272'000));
+  CHECK(std::holds_alternative<NoCapacityNow>(placing));
 }
 
 TEST_CASE("Small parts are read beside short prompts, large ones are not") {
-  std::vector<Work> works;
+  std::vector<ActiveRequest> works;
   for (BackendId it = 1; it <= 18; ++it) {
     works.push_back(Writing(it, 2000, milliseconds(200)));
   }
   // 18 ms on each of many, 300 ms on few.
-  const auto small = Place(kTiming, View(18, works), Prompt(60'000));
-  CHECK(std::holds_alternative<Placed>(small));
-  const auto large = Place(kTiming, View(18, works), Prompt(400'000));
-  CHECK(std::holds_alternative<NoRoomNow>(large));
+  const auto small = PlacePrompt(kTiming, View(18, works), Prompt(60'000));
+  CHECK(std::holds_alternative<Placement>(small));
+  const auto large = PlacePrompt(kTiming, View(18, works), Prompt(400'000));
+  CHECK(std::holds_alternative<NoCapacityNow>(large));
 }
 
 TEST_CASE("An engine's memory is never promised twice") {
-  std::vector<Work> works;
+  std::vector<ActiveRequest> works;
   for (BackendId it = 1; it <= 6; ++it) works.push_back(Writing(it, 300'000));
-  const auto placing = Place(kTiming, View(6, works), Prompt(200'000));
-  const auto* none = std::get_if<NoRoomNow>(&placing);
+  const auto placing = PlacePrompt(kTiming, View(6, works), Prompt(200'000));
+  const auto* none = std::get_if<NoCapacityNow>(&placing);
   REQUIRE(none != nullptr);
-  CHECK(none->of == Shortage::kMemory);
+  CHECK(none->shortage == Shortage::kMemory);
 }
 
 TEST_CASE(
     "A prompt larger than one engine gets memory at several, all or none") {
-  const auto placing = Place(kTiming, View(8, {}), Prompt(1'000'000));
-  const auto* placed = std::get_if<Placed>(&placing);
+  const auto placing = PlacePrompt(kTiming, View(8, {}), Prompt(1'000'000));
+  const auto* placed = std::get_if<Placement>(&placing);
   REQUIRE(placed != nullptr);
   REQUIRE(placed->helper_tokens.size() == placed->helpers.size());
   std::int64_t elsewhere = 0;
@@ -158,42 +159,43 @@
     elsewhere += it;
   }
   CHECK(1'001'000 - elsewhere <= kTiming.memory_tokens);
-  std::vector<Work> works;
+  std::vector<ActiveRequest> works;
   for (BackendId it = 1; it <= 8; ++it) works.push_back(Writing(it, 350'000));
-  const auto full = Place(kTiming, View(8, works), Prompt(1'000'000));
-  CHECK(std::holds_alternative<NoRoomNow>(full));
+  const auto full = PlacePrompt(kTiming, View(8, works), Prompt(1'000'000));
+  CHECK(std::holds_alternative<NoCapacityNow>(full));
 }
 
 TEST_CASE("A prompt that no pool could hold is told at once") {
-  const auto placing = Place(kTiming, View(3, {}), Prompt(2'000'000));
+  const auto placing = PlacePrompt(kTiming, View(3, {}), Prompt(2'000'000));
   CHECK(std::holds_alternative<TooLarge>(placing));
 }
 
 TEST_CASE("Suspects get nothing") {
   std::vector<EngineView> engines = Engines(4);
-  engines[0].suspect = true;
-  const auto pool = ViewPool(kTiming, engines, {}, kNow);
-  const auto brief = Place(kTiming, pool, Prompt(1000));
-  CHECK(std::get<Placed>(brief).backend == 2);
-  for (EngineView& it : engines) it.suspect = true;
-  const auto none =
-      Place(kTiming, ViewPool(kTiming, engines, {}, kNow), Prompt(1000));
-  CHECK(std::holds_alternative<NoRoomNow>(none));
+  engines[0].suspected = true;
+  const auto pool = BuildPoolView(kTiming, engines, {}, kNow);
+  const auto brief = PlacePrompt(kTiming, pool, Prompt(1000));
+  CHECK(std::get<Placement>(brief).backend == 2);
+  for (EngineView& it : engines) it.suspected = true;
+  const auto none = PlacePrompt(
+      kTiming, BuildPoolView(kTiming, engines, {}, kNow), Prompt(1000));
+  CHECK(std::holds_alternative<NoCapacityNow>(none));
 }
 
 // The first prompts of a burst were put four to an engine within some ms while
 // most engines had nothing to do; of the fourth the first token was late.
 TEST_CASE("While engines are idle a short prompt queues behind one at most") {
-  std::vector<Work> works;
+  std::vector<ActiveRequest> works;
   std::set<BackendId> most;
   for (int i = 0; i < 30; ++i) {
-    const Placing placing = Place(kTiming, View(60, works), Prompt(5000));
-    const auto* placed = std::get_if<Placed>(&placing);
+    const PlacementResult placing =
+        PlacePrompt(kTiming, View(60, works), Prompt(5000));
+    const auto* placed = std::get_if<Placement>(&placing);
     REQUIRE(placed != nullptr);
     works.push_back(Reading(placed->backend, {}, 5000));
     const auto there = std::count_if(
         works.begin(), works.end(),
-        [&](const Work& it) { return it.backend == placed->backend; });
+        [&](const ActiveRequest& it) { return it.backend == placed->backend; });
     CHECK(there <= 2);
     most.insert(placed->backend);
   }
@@ -209,49 +211,50 @@
 const EngineTiming kSlower{.slots = 12,
                            .memory_tokens = 344'250,
                            .step_ms = 1.31,
-                           .writer_ms = 0.000917,
+                           .step_ms_per_decoder = 0.000917,
                            .context_ms_per_1000 = 0.00213,
-                           .read_tokens_per_ms = 154,
-                           .pairs_ms_per_million = 0.162,
+                           .prefill_tokens_per_ms = 154,
+                           .attention_ms_per_million_pairs = 0.162,
                            .tokens_per_event = 38,
-                           .chunk_tokens = 2048,
+                           .prefill_chunk_tokens = 2048,
                            .hop_ms = 0.1};
 
-Placing PlaceIn(const std::vector<EngineView>& pool, std::int64_t tokens,
-                Duration until_due, Duration time_left) {
-  return Place(kSlower, pool,
-               {.prompt_tokens = tokens,
-                .answer_tokens = 1000,
-                .until_due = until_due,
-                .time_left = time_left});
+PlacementResult PlaceIn(const std::vector<EngineView>& pool,
+                        std::int64_t tokens, Duration until_due,
+                        Duration time_left) {
+  return PlacePrompt(kSlower, pool,
+                     {.prompt_tokens = tokens,
+                      .answer_tokens = 1000,
+                      .until_due = until_due,
+                      .time_left = time_left});
 }
 
 TEST_CASE("A prompt that can't be in time takes what its deadline needs") {
   const std::int64_t huge = 900'000;
   // 71 s of reading: 4.2 s on 17 engines.
-  CHECK(ReadTime(kSlower, huge).count() / 1'000'000 == 71);
+  CHECK(PrefillTime(kSlower, huge).count() / 1'000'000 == 71);
   const auto late = PlaceIn(Engines(60), huge, seconds(4), seconds(15));
-  REQUIRE(std::holds_alternative<Placed>(late));
-  CHECK(std::get<Placed>(late).helpers.size() == 9);
-  CHECK(std::get<Placed>(late).first_token < seconds(8));
+  REQUIRE(std::holds_alternative<Placement>(late));
+  CHECK(std::get<Placement>(late).helpers.size() == 9);
+  CHECK(std::get<Placement>(late).first_token < seconds(8));
   // With a longer objective it is in time, and gets all.
   const auto timely = PlaceIn(Engines(60), huge, seconds(6), seconds(15));
-  CHECK(std::get<Placed>(timely).helpers.size() == 16);
+  CHECK(std::get<Placement>(timely).helpers.size() == 16);
   // Nor does one that came too late by waiting stand in the way of others.
   const auto waited = PlaceIn(Engines(60), 300'000, -seconds(1), seconds(10));
-  CHECK(std::get<Placed>(waited).helpers.size() == 1);
+  CHECK(std::get<Placement>(waited).helpers.size() == 1);
 }
 
 TEST_CASE("Long parts of a late prompt go to engines that have nothing else") {
   // Of 30 engines 28 read a part for another prompt that is nearly done.
   std::vector<EngineView> pool = Engines(30);
   for (std::size_t i = 2; i < 30; ++i) {
-    pool[i].helping = 1;
-    pool[i].backlog = milliseconds(20);
+    pool[i].helper_parts = 1;
+    pool[i].prefill_backlog = milliseconds(20);
   }
   const auto helpers = [&](Duration until_due) {
     const auto placing = PlaceIn(pool, 600'000, until_due, seconds(15));
-    const auto* placed = std::get_if<Placed>(&placing);
+    const auto* placed = std::get_if<Placement>(&placing);
     return placed == nullptr ? 0 : placed->helpers.size();
   };
   // 33 s: parts of 1.9 s, in time, and elsewhere 6.6 s on five engines.
--- a/serving/test/proofs_test.cc
+++ b/serving/test/proofs_test.cc
@@ -25,15 +25,16 @@
   // All that it knows is the newest.
   void Prove() {
     daemon_.Feed(ConfigurationConfirmed{.revision = {.number = revision_},
-                                        .asked = daemon_.now()});
-    daemon_.Feed(BackendsConfirmed{.asked = daemon_.now()});
+                                        .queried_at = daemon_.now()});
+    daemon_.Feed(BackendsConfirmed{.queried_at = daemon_.now()});
   }
   void Lag(Duration time) {
     constexpr Duration kStep = milliseconds(100);
     for (Duration passed{}; passed < time; passed += kStep) {
-      daemon_.Feed(ConfigurationSeen{
-          .configuration = MakeConfiguration(++revision_), .asked = Time{}});
-      daemon_.Pass(kStep);
+      daemon_.Feed(
+          ConfigurationReceived{.configuration = MakeConfiguration(++revision_),
+                                .queried_at = Time{}});
+      daemon_.AdvanceTime(kStep);
     }
   }
 
@@ -49,42 +50,42 @@
   Lagging lagging;
   Daemon& daemon = lagging.daemon();
   lagging.Lag(kNewsWithin);
-  daemon.Ask("safe");
-  CHECK(daemon.First<StartAttempt>() == nullptr);
-  const auto* refused = daemon.First<Refuse>();
+  daemon.SendRequest("safe");
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
+  const auto* refused = daemon.FirstEffect<Refuse>();
   REQUIRE(refused != nullptr);
   CHECK(refused->status == 503);
   CHECK(refused->retry_after > Duration::zero());
   CHECK_FALSE(IsServing(daemon.state()));
   lagging.Prove();
   CHECK(IsServing(daemon.state()));
-  daemon.Ask("safe");
-  CHECK(daemon.First<StartAttempt>() != nullptr);
+  daemon.SendRequest("safe");
+  CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
 TEST_CASE("A request that waits to be sent again waits for a proof too") {
   Lagging lagging;
   Daemon& daemon = lagging.daemon();
-  daemon.Ask("safe");
-  const auto* sent = daemon.First<StartAttempt>();
+  daemon.SendRequest("safe");
+  const auto* sent = daemon.FirstEffect<StartAttempt>();
   REQUIRE(sent != nullptr);
   const AttemptId attempt = sent->attempt;
   lagging.Lag(kNewsWithin);
   daemon.Feed(
       AttemptFailed{.attempt = attempt, .error = AttemptError::kNotSent});
-  CHECK(daemon.First<StartAttempt>() == nullptr);
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   lagging.Lag(milliseconds(100));
-  CHECK(daemon.First<StartAttempt>() == nullptr);
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   lagging.Prove();
-  daemon.Pass(milliseconds(100));
-  CHECK(daemon.First<StartAttempt>() != nullptr);
+  daemon.AdvanceTime(milliseconds(100));
+  CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
 TEST_CASE("A prompt whose memory comes too late for the proof isn't begun") {
   Lagging lagging;
   Daemon& daemon = lagging.daemon();
   lagging.Lag(milliseconds(1800));
-  daemon.Ask("stream", /*prompt=*/900'000);
+  daemon.SendRequest("stream", /*prompt=*/900'000);
   std::vector<ReserveMemory> orders;
   for (const Effect& it : daemon.effects()) {
     const auto* order = std::get_if<ReserveMemory>(&it);
@@ -93,9 +94,10 @@
   REQUIRE_FALSE(orders.empty());
   lagging.Lag(milliseconds(200));
   for (const ReserveMemory& it : orders) {
-    daemon.Feed(MemoryAnswered{
-        .attempt = it.attempt, .index = it.index, .granted = true});
-    CHECK(daemon.First<StartAttempt>() == nullptr);
+    daemon.Feed(MemoryReservationAnswered{.attempt = it.attempt,
+                                          .helper_index = it.helper_index,
+                                          .granted = true});
+    CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   }
 }
 
@@ -103,9 +105,9 @@
   Lagging lagging;
   Daemon& daemon = lagging.daemon();
   for (int i = 0; i < 40; ++i) {
-    daemon.Pass(milliseconds(100));
-    daemon.Ask("safe");
-    CHECK(daemon.First<StartAttempt>() != nullptr);
+    daemon.AdvanceTime(milliseconds(100));
+    daemon.SendRequest("safe");
+    CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
     CHECK(IsServing(daemon.state()));
   }
 }
@@ -116,12 +118,12 @@
 TEST_CASE("An entry that is gone is used no longer than news may take") {
   Lagging lagging;
   Daemon& daemon = lagging.daemon();
-  daemon.Feed(BackendsConfirmed{.asked = daemon.now()});
+  daemon.Feed(BackendsConfirmed{.queried_at = daemon.now()});
   const Time proved = daemon.now();
-  daemon.Pass(milliseconds(1400));
+  daemon.AdvanceTime(milliseconds(1400));
   daemon.Feed(BackendUnlisted{.id = "app0", .certain = false});
   CHECK(daemon.state().backends.contains("app0"));
-  daemon.Pass(proved + kNewsWithin - daemon.now());
+  daemon.AdvanceTime(proved + kNewsWithin - daemon.now());
   CHECK_FALSE(daemon.state().backends.contains("app0"));
 }
 
@@ -134,17 +136,18 @@
   const auto feed = [&](EventBody body) {
     Reduce(state, {.now = now, .body = std::move(body)});
   };
-  feed(ConfigurationSeen{.configuration = MakeConfiguration(1), .asked = now});
-  feed(StoreAsked{});
+  feed(ConfigurationReceived{.configuration = MakeConfiguration(1),
+                             .queried_at = now});
+  feed(StoreQueried{});
   // It says nothing, and then something again that is no list.
   for (int i = 0; i < 30; ++i) {
     now += milliseconds(100);
     feed(Tick{});
     CHECK_FALSE(IsServing(state));
   }
-  feed(StoreHeard{});
+  feed(StoreResponded{});
   CHECK_FALSE(IsServing(state));
-  feed(BackendsListed{.backends = {}, .asked = now});
+  feed(BackendsListed{.backends = {}, .queried_at = now});
   CHECK(IsServing(state));
 }
 
