--- a/serving/test/reducer_test.cc
+++ b/serving/test/reducer_test.cc
@@ -15,14 +15,15 @@
 
 TEST_CASE("The configuration in force only rises") {
   Daemon daemon;
-  daemon.Feed(ConfigurationSeen{.configuration = MakeConfiguration(5),
-                                .asked = daemon.now()});
+  daemon.Feed(ConfigurationReceived{.configuration = MakeConfiguration(5),
+                                    .queried_at = daemon.now()});
   Configuration older = MakeConfiguration(4);
   older.routes.clear();
-  daemon.Feed(ConfigurationSeen{.configuration = older, .asked = daemon.now()});
+  daemon.Feed(ConfigurationReceived{.configuration = older,
+                                    .queried_at = daemon.now()});
   CHECK(daemon.state().configuration->configuration().revision.number == 5);
-  daemon.Ask("safe");
-  CHECK(daemon.First<StartAttempt>() != nullptr);
+  daemon.SendRequest("safe");
+  CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
 TEST_CASE(
@@ -30,42 +31,42 @@
   Daemon daemon;
   CHECK(IsServing(daemon.state()));
   // A watch brings a change, which proves nothing of what came after it.
-  daemon.Pass(milliseconds(4700));
-  daemon.Feed(ConfigurationSeen{.configuration = MakeConfiguration(2),
-                                .asked = Time{}});
-  daemon.Pass(milliseconds(200));
+  daemon.AdvanceTime(milliseconds(4700));
+  daemon.Feed(ConfigurationReceived{.configuration = MakeConfiguration(2),
+                                    .queried_at = Time{}});
+  daemon.AdvanceTime(milliseconds(200));
   CHECK_FALSE(IsServing(daemon.state()));
-  daemon.Ask("safe");
-  const auto* refused = daemon.First<Refuse>();
+  daemon.SendRequest("safe");
+  const auto* refused = daemon.FirstEffect<Refuse>();
   REQUIRE(refused != nullptr);
   CHECK(refused->status == 503);
   // The word that an older revision was the newest proves that only for when
   // it was asked.
   const Time asked = daemon.now() - milliseconds(4850);
   daemon.Feed(
-      ConfigurationConfirmed{.revision = {.number = 1}, .asked = asked});
+      ConfigurationConfirmed{.revision = {.number = 1}, .queried_at = asked});
   CHECK(daemon.state().confirmed_at == asked);
   CHECK_FALSE(IsServing(daemon.state()));
   // A word about one that is not known here proves nothing.
-  daemon.Feed(
-      ConfigurationConfirmed{.revision = {.number = 3}, .asked = daemon.now()});
+  daemon.Feed(ConfigurationConfirmed{.revision = {.number = 3},
+                                     .queried_at = daemon.now()});
   CHECK(daemon.state().confirmed_at == asked);
-  daemon.Feed(
-      ConfigurationConfirmed{.revision = {.number = 2}, .asked = daemon.now()});
+  daemon.Feed(ConfigurationConfirmed{.revision = {.number = 2},
+                                     .queried_at = daemon.now()});
   CHECK(IsServing(daemon.state()));
 }
 
 TEST_CASE("An entry that lapsed while the store was away is waited for") {
   Daemon daemon;
   daemon.Feed(BackendUnlisted{.id = "app0", .certain = false});
-  daemon.Pass(milliseconds(1500));
+  daemon.AdvanceTime(milliseconds(1500));
   CHECK(daemon.state().backends.contains("app0"));
-  daemon.List("app", 0);
-  daemon.Pass(seconds(3));
+  daemon.ListBackend("app", 0);
+  daemon.AdvanceTime(seconds(3));
   CHECK(daemon.state().backends.contains("app0"));
   // No longer than a leaving backend server may still get work (2 s).
   daemon.Feed(BackendUnlisted{.id = "app0", .certain = false});
-  daemon.Pass(milliseconds(1900));
+  daemon.AdvanceTime(milliseconds(1900));
   CHECK_FALSE(daemon.state().backends.contains("app0"));
   daemon.Feed(BackendUnlisted{.id = "app1", .certain = true});
   CHECK_FALSE(daemon.state().backends.contains("app1"));
@@ -74,7 +75,7 @@
 std::set<std::string> AskedOf(const Effects& effects) {
   std::set<std::string> addresses;
   for (const Effect& it : effects) {
-    if (const auto* question = std::get_if<AskReport>(&it)) {
+    if (const auto* question = std::get_if<FetchEngineReport>(&it)) {
       addresses.insert(question->address);
     }
   }
@@ -83,50 +84,54 @@
 
 TEST_CASE("Each engine is asked how it does, by one daemon of all") {
   Daemon daemon;
-  daemon.Pass(milliseconds(1700));
+  daemon.AdvanceTime(milliseconds(1700));
   CHECK(AskedOf(daemon.effects()).size() == 6);
-  daemon.Confirm();
+  daemon.ConfirmStore();
   // Two others serve: each engine is one daemon's to ask.
   for (const std::string peer : {"1.1.1.2:2", "1.1.1.3:2"}) {
-    daemon.Feed(SnapshotReceived{
-        {.peer_address = peer, .life = 1, .sequence = 1, .serving = true}});
+    daemon.Feed(SnapshotReceived{{.peer_address = peer,
+                                  .incarnation = 1,
+                                  .sequence = 1,
+                                  .serving = true}});
   }
-  daemon.Pass(milliseconds(1700));
+  daemon.AdvanceTime(milliseconds(1700));
   const std::size_t own = AskedOf(daemon.effects()).size();
   CHECK(own < 6);
   // One of them falls silent, and its engines are asked by the others.
   for (std::uint64_t i = 2; i < 40; ++i) {
-    daemon.Pass(milliseconds(100));
+    daemon.AdvanceTime(milliseconds(100));
     daemon.Feed(SnapshotReceived{{.peer_address = "1.1.1.2:2",
-                                  .life = 1,
+                                  .incarnation = 1,
                                   .sequence = i,
                                   .serving = true}});
   }
-  daemon.Confirm();
-  daemon.Pass(milliseconds(1700));
+  daemon.ConfirmStore();
+  daemon.AdvanceTime(milliseconds(1700));
   CHECK(AskedOf(daemon.effects()).size() >= own);
 }
 
 TEST_CASE("An engine that says it is slow gets nothing until it is not") {
   Daemon daemon;
-  daemon.Ask("stream");
-  const std::string first = daemon.First<StartAttempt>()->instance;
-  daemon.Feed(
-      ReportSeen{.backend = daemon.state().backends.at(first).id, .pace = 4});
+  daemon.SendRequest("stream");
+  const std::string first = daemon.FirstEffect<StartAttempt>()->instance;
+  daemon.Feed(EngineReportReceived{
+      .backend = daemon.state().backends.at(first).id, .slowdown = 4});
   for (int i = 0; i < 10; ++i) {
-    daemon.Ask("stream");
-    CHECK(daemon.First<StartAttempt>()->instance != first);
-    daemon.Ask("stream", 210'000);
-    if (const auto* sent = daemon.First<StartAttempt>()) {
+    daemon.SendRequest("stream");
+    CHECK(daemon.FirstEffect<StartAttempt>()->instance != first);
+    daemon.SendRequest("stream", 210'000);
+    if (const auto* sent = daemon.FirstEffect<StartAttempt>()) {
       CHECK(sent->instance != first);
-      for (const Helper& it : sent->helpers) CHECK(it.address != first + ":1");
+      for (const PrefillHelper& it : sent->helpers)
+        CHECK(it.address != first + ":1");
     }
   }
-  daemon.Feed(ReportSeen{.backend = daemon.state().backends.at(first).id});
+  daemon.Feed(
+      EngineReportReceived{.backend = daemon.state().backends.at(first).id});
   bool used = false;
   for (int i = 0; i < 40 && !used; ++i) {
-    daemon.Ask("stream");
-    const auto* sent = daemon.First<StartAttempt>();
+    daemon.SendRequest("stream");
+    const auto* sent = daemon.FirstEffect<StartAttempt>();
     used = sent != nullptr && sent->instance == first;
   }
   CHECK(used);
@@ -137,7 +142,7 @@
   std::size_t slow = 0;
   for (const auto& [name, backend] : daemon.state().backends) {
     if (backend.server.service == "llm") {
-      daemon.Feed(ReportSeen{.backend = backend.id, .pace = 4});
+      daemon.Feed(EngineReportReceived{.backend = backend.id, .slowdown = 4});
     }
   }
   for (const auto& [name, backend] : daemon.state().backends) {
@@ -148,11 +153,11 @@
 
 TEST_CASE("A word of leaving is never taken back") {
   Daemon daemon;
-  daemon.List("app", 0, /*leaving=*/true);
-  daemon.List("app", 0);
+  daemon.ListBackend("app", 0, /*leaving=*/true);
+  daemon.ListBackend("app", 0);
   for (int i = 0; i < 20; ++i) {
-    daemon.Ask("safe");
-    const auto* sent = daemon.First<StartAttempt>();
+    daemon.SendRequest("safe");
+    const auto* sent = daemon.FirstEffect<StartAttempt>();
     REQUIRE(sent != nullptr);
     CHECK(sent->instance != "app0");
   }
@@ -160,22 +165,22 @@
 
 TEST_CASE("A usual pace does not clear an engine of what it failed") {
   Daemon daemon;
-  daemon.Ask("stream");
-  const StartAttempt sent = *daemon.First<StartAttempt>();
+  daemon.SendRequest("stream");
+  const StartAttempt sent = *daemon.FirstEffect<StartAttempt>();
   const std::string& first = sent.instance;
   const BackendId id = daemon.state().backends.at(first).id;
-  daemon.Feed(ReportSeen{.backend = id, .pace = 4});
+  daemon.Feed(EngineReportReceived{.backend = id, .slowdown = 4});
   daemon.Feed(AttemptFailed{.attempt = sent.attempt});
-  daemon.Feed(ReportSeen{.backend = id});
+  daemon.Feed(EngineReportReceived{.backend = id});
   for (int i = 0; i < 10; ++i) {
-    daemon.Ask("stream");
-    CHECK(daemon.First<StartAttempt>()->instance != first);
+    daemon.SendRequest("stream");
+    CHECK(daemon.FirstEffect<StartAttempt>()->instance != first);
   }
 }
 
 TEST_CASE("A prompt isn't begun with a helper that has begun to leave") {
   Daemon daemon;
-  daemon.Ask("stream", /*prompt=*/900'000);
+  daemon.SendRequest("stream", /*prompt=*/900'000);
   std::vector<ReserveMemory> orders;
   for (const Effect& it : daemon.effects()) {
     if (const auto* order = std::get_if<ReserveMemory>(&it)) {
@@ -186,31 +191,32 @@
   const std::string leaving = orders.front().address;
   for (int i = 0; i < 6; ++i) {
     if ("llm" + std::to_string(i) + ":1" == leaving) {
-      daemon.List("llm", i, /*leaving=*/true);
+      daemon.ListBackend("llm", i, /*leaving=*/true);
     }
   }
   for (const ReserveMemory& it : orders) {
-    daemon.Feed(MemoryAnswered{
-        .attempt = it.attempt, .index = it.index, .granted = true});
-    CHECK(daemon.First<StartAttempt>() == nullptr);
+    daemon.Feed(MemoryReservationAnswered{.attempt = it.attempt,
+                                          .helper_index = it.helper_index,
+                                          .granted = true});
+    CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   }
   // What was set aside is given back.
-  CHECK(daemon.First<ReleaseMemory>() != nullptr);
+  CHECK(daemon.FirstEffect<ReleaseMemory>() != nullptr);
 }
 
 TEST_CASE("A late word of an attempt that is over changes nothing") {
   Daemon daemon;
-  const RequestKey key = daemon.Ask("stream");
-  const AttemptId first = daemon.First<StartAttempt>()->attempt;
+  const RequestKey key = daemon.SendRequest("stream");
+  const AttemptId first = daemon.FirstEffect<StartAttempt>()->attempt;
   daemon.Feed(StreamEvent{.attempt = first, .id = "1", .bytes = "a"});
   daemon.Feed(AttemptFailed{.attempt = first});
-  const auto* second = daemon.First<StartAttempt>();
+  const auto* second = daemon.FirstEffect<StartAttempt>();
   REQUIRE(second != nullptr);
   CHECK(second->resume_after == "1");
   daemon.Feed(StreamEvent{.attempt = first, .id = "2", .bytes = "late"});
-  CHECK(daemon.First<PassEvent>() == nullptr);
+  CHECK(daemon.FirstEffect<ForwardEvent>() == nullptr);
   daemon.Feed(AttemptAnswered{.attempt = first, .kind = AnswerKind::kSuccess});
-  CHECK(daemon.First<EndStream>() == nullptr);
+  CHECK(daemon.FirstEffect<EndStream>() == nullptr);
   CHECK(daemon.state().requests.contains(key));
 }
 
@@ -222,47 +228,49 @@
       {.backend = HashBytes("app2"), .until = kStart + seconds(1)}};
   daemon.Feed(SnapshotReceived{snapshot});
   for (int i = 0; i < 10; ++i) {
-    daemon.Ask("safe");
-    CHECK(daemon.First<StartAttempt>()->instance == "app0");
+    daemon.SendRequest("safe");
+    CHECK(daemon.FirstEffect<StartAttempt>()->instance == "app0");
   }
 }
 
 TEST_CASE("An older or doubled snapshot changes nothing") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(5);
-  snapshot.life = 7;
+  snapshot.incarnation = 7;
   daemon.Feed(SnapshotReceived{snapshot});
-  CHECK(LookUp(daemon.state()).addresses.size() == 2);
+  CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 2);
   LoadSnapshot old = snapshot;
   old.sequence = 4;
   old.serving = false;
   daemon.Feed(SnapshotReceived{old});
-  CHECK(LookUp(daemon.state()).addresses.size() == 2);
-  old.life = 6;
+  CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 2);
+  old.incarnation = 6;
   old.sequence = 100;
   daemon.Feed(SnapshotReceived{old});
-  CHECK(LookUp(daemon.state()).addresses.size() == 2);
-  daemon.Pass(seconds(3));
-  CHECK(LookUp(daemon.state()).addresses.size() == 1);
+  CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 2);
+  daemon.AdvanceTime(seconds(3));
+  CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 1);
 }
 
 TEST_CASE("Long prompts of all daemons wait in one order") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(1);
-  snapshot.waiting = {
-      {.id = 1, .service = "llm", .turn = kStart, .read = milliseconds(500)}};
+  snapshot.waiting = {{.id = 1,
+                       .service = "llm",
+                       .queue_key = kStart,
+                       .prefill_time = milliseconds(500)}};
   daemon.Feed(SnapshotReceived{snapshot});
-  daemon.Ask("stream", 100'000);
-  CHECK(daemon.First<StartAttempt>() == nullptr);
+  daemon.SendRequest("stream", 100'000);
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   // Short ones don't wait for them.
-  daemon.Ask("stream", 2'000);
-  CHECK(daemon.First<StartAttempt>() != nullptr);
+  daemon.SendRequest("stream", 2'000);
+  CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
   snapshot.waiting.clear();
   snapshot.sequence = 2;
-  daemon.Pass(milliseconds(20));
+  daemon.AdvanceTime(milliseconds(20));
   daemon.Feed(SnapshotReceived{snapshot});
-  daemon.Pass(milliseconds(20));
-  CHECK(daemon.First<StartAttempt>() != nullptr);
+  daemon.AdvanceTime(milliseconds(20));
+  CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
 TEST_CASE("What can't be served in time is refused at once, late ones wait") {
@@ -271,51 +279,53 @@
   // Eighty engine-seconds of reading come first: 24 s for four engines.
   snapshot.waiting = {{.id = 1,
                        .service = "llm",
-                       .turn = kStart - seconds(9),
-                       .read = seconds(80)}};
+                       .queue_key = kStart - seconds(9),
+                       .prefill_time = seconds(80)}};
   daemon.Feed(SnapshotReceived{snapshot});
-  daemon.Ask("stream", 100'000, seconds(15));
-  const auto* refused = daemon.First<Refuse>();
+  daemon.SendRequest("stream", 100'000, seconds(15));
+  const auto* refused = daemon.FirstEffect<Refuse>();
   REQUIRE(refused != nullptr);
   CHECK(refused->status == 503);
   CHECK(refused->retry_after > milliseconds(500));
   CHECK(refused->retry_after <= seconds(5));
-  CHECK(daemon.First<StartAttempt>() == nullptr);
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   // Twenty of them: it would miss its objective of 3 s, and not its deadline.
   snapshot.sequence = 2;
-  snapshot.waiting[0].read = seconds(20);
+  snapshot.waiting[0].prefill_time = seconds(20);
   daemon.Feed(SnapshotReceived{snapshot});
-  daemon.Ask("stream", 100'000, seconds(15));
-  CHECK(daemon.First<Refuse>() == nullptr);
+  daemon.SendRequest("stream", 100'000, seconds(15));
+  CHECK(daemon.FirstEffect<Refuse>() == nullptr);
 }
 
 TEST_CASE(
     "Of a client that has left while its request waited nothing is sent") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(1);
-  snapshot.waiting = {
-      {.id = 1, .service = "llm", .turn = kStart, .read = milliseconds(500)}};
+  snapshot.waiting = {{.id = 1,
+                       .service = "llm",
+                       .queue_key = kStart,
+                       .prefill_time = milliseconds(500)}};
   daemon.Feed(SnapshotReceived{snapshot});
-  const RequestKey key = daemon.Ask("stream", 100'000);
-  REQUIRE(daemon.First<StartAttempt>() == nullptr);
-  daemon.Feed(ClientGone{.key = key});
+  const RequestKey key = daemon.SendRequest("stream", 100'000);
+  REQUIRE(daemon.FirstEffect<StartAttempt>() == nullptr);
+  daemon.Feed(ClientDisconnected{.key = key});
   snapshot.sequence = 2;
   snapshot.waiting.clear();
   daemon.Feed(SnapshotReceived{snapshot});
-  CHECK(daemon.First<StartAttempt>() == nullptr);
-  daemon.Pass(seconds(3));
-  CHECK(daemon.First<StartAttempt>() == nullptr);
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
+  daemon.AdvanceTime(seconds(3));
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   CHECK(daemon.state().requests.empty());
 }
 
 TEST_CASE("An entry whose wait is over gets nothing in the same moment") {
   Daemon daemon;
-  const RequestKey key = daemon.Ask("stream", 2'000);
-  REQUIRE(daemon.First<StartAttempt>() != nullptr);
-  const std::string first = daemon.First<StartAttempt>()->instance;
+  const RequestKey key = daemon.SendRequest("stream", 2'000);
+  REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
+  const std::string first = daemon.FirstEffect<StartAttempt>()->instance;
   // The wait for all others ends when the first one is taken for lost.
-  const Time lost_at = daemon.state().requests.at(key).progress_by;
-  daemon.Pass(lost_at - milliseconds(1600) - daemon.now());
+  const Time lost_at = daemon.state().requests.at(key).progress_deadline;
+  daemon.AdvanceTime(lost_at - milliseconds(1600) - daemon.now());
   for (int i = 0; i < 6; ++i) {
     const std::string id = "llm" + std::to_string(i);
     if (id != first) {
@@ -331,42 +341,42 @@
       if (!listed) sent_late = sent->instance;
     }
   });
-  daemon.Pass(seconds(3));
+  daemon.AdvanceTime(seconds(3));
   INFO("sent to " << sent_late);
   CHECK(sent_late.empty());
 }
 
 TEST_CASE("A route's time-out ends a request, and not before") {
   Daemon daemon;
-  daemon.Ask("once", 0, seconds(100));
-  const AttemptId attempt = daemon.First<StartAttempt>()->attempt;
+  daemon.SendRequest("once", 0, seconds(100));
+  const AttemptId attempt = daemon.FirstEffect<StartAttempt>()->attempt;
   for (int i = 0; i < 148; ++i) {
-    daemon.Pass(milliseconds(100));
-    daemon.Confirm();
-    CHECK(daemon.First<Refuse>() == nullptr);
+    daemon.AdvanceTime(milliseconds(100));
+    daemon.ConfirmStore();
+    CHECK(daemon.FirstEffect<Refuse>() == nullptr);
   }
-  daemon.Pass(milliseconds(400));
+  daemon.AdvanceTime(milliseconds(400));
   CHECK(daemon.state().requests.empty());
   daemon.Feed(
       AttemptAnswered{.attempt = attempt, .kind = AnswerKind::kSuccess});
-  CHECK(daemon.First<DeliverAnswer>() == nullptr);
+  CHECK(daemon.FirstEffect<DeliverAnswer>() == nullptr);
 }
 
 TEST_CASE("A planned stop takes what can end, then ends") {
   Daemon daemon;
   daemon.Feed(StopRequested{});
   CHECK_FALSE(IsServing(daemon.state()));
-  daemon.Ask("safe");
-  const AttemptId attempt = daemon.First<StartAttempt>()->attempt;
+  daemon.SendRequest("safe");
+  const AttemptId attempt = daemon.FirstEffect<StartAttempt>()->attempt;
   daemon.Feed(
       AttemptAnswered{.attempt = attempt, .kind = AnswerKind::kSuccess});
-  CHECK(daemon.First<DeliverAnswer>() != nullptr);
-  daemon.Pass(milliseconds(2600));
-  daemon.Ask("stream");
-  const auto* refused = daemon.First<Refuse>();
+  CHECK(daemon.FirstEffect<DeliverAnswer>() != nullptr);
+  daemon.AdvanceTime(milliseconds(2600));
+  daemon.SendRequest("stream");
+  const auto* refused = daemon.FirstEffect<Refuse>();
   REQUIRE(refused != nullptr);
-  CHECK(refused->why == Refusal::kStopping);
-  daemon.Pass(seconds(5));
+  CHECK(refused->reason == Refusal::kStopping);
+  daemon.AdvanceTime(seconds(5));
   CHECK(daemon.state().exited);
 }
 
--- a/serving/test/relay_fleet.h
+++ b/serving/test/relay_fleet.h
@@ -21,21 +21,21 @@
 inline constexpr int kDaemons = 5;
 inline constexpr Duration kStep = milliseconds(10);
 // Of a calm fleet: what the store has taken is known everywhere within this.
-inline constexpr Duration kNewsWithin = seconds(2);
+inline constexpr Duration kPropagationLimit = seconds(2);
 // So long after trouble a daemon counts as calm again.
-inline constexpr Duration kCalmAfter = seconds(3);
+inline constexpr Duration kRecoveryTime = seconds(3);
 // A daemon that serves by something old does so for longer than this.
-inline constexpr Duration kLookEvery = 5 * kStep;
+inline constexpr Duration kCheckInterval = 5 * kStep;
 
 // Five daemons of one data centre, their messages and the store.
-class Fleet {
+class RelayFleet {
  public:
-  Fleet() {
+  RelayFleet() {
     for (int i = 0; i < kDaemons; ++i) nodes_.emplace_back(Fresh(i));
     Pass(seconds(3));
   }
 
-  void Play(const DrawnStep& step) {
+  void ApplyStep(const DrawnStep& step) {
     Node& node = nodes_[static_cast<std::size_t>(step.first % kDaemons)];
     const Time before = node.troubled_until;
     switch (step.kind) {
@@ -112,7 +112,7 @@
   }
 
   // All is well again: everybody knows what the store took before.
-  void Calm() {
+  void CheckRecovery() {
     crawls_until_ = now_;
     Pass(seconds(10));
     store_.Configure(now_);
@@ -120,7 +120,7 @@
     store_.Remove(1, now_);
     store_.StartAgain(2, now_);
     store_.Forge(3, now_);
-    Pass(kNewsWithin);
+    Pass(kPropagationLimit);
     for (const Node& it : nodes_) {
       if (it.state->configuration->configuration().stamp() != store_.stored()) {
         Violate("a calm daemon has an old configuration");
@@ -142,10 +142,11 @@
         continue;
       }
       const BackendServer& known = found->second.server;
-      if (known.fault.empty() != entry.fault.empty()) {
+      if (known.entry_error.empty() != entry.entry_error.empty()) {
         Violate(id + " is used though its entry names none, or is not");
       }
-      if (entry.fault.empty() && known.born < entry.born) {
+      if (entry.entry_error.empty() &&
+          known.start_unix_ms < entry.start_unix_ms) {
         Violate(id + " is known by an earlier life");
       }
     }
@@ -185,13 +186,13 @@
   Node Fresh(int i) {
     const std::string address = "10.0.0." + std::to_string(i) + ":1";
     Node node;
-    node.state =
-        std::make_unique<State>(ServingOptions{.instance = address,
-                                               .peer_address = address,
-                                               .data_centre = "z",
-                                               .life = ++lives_,
-                                               .seed = lives_,
-                                               .news_within = kNewsWithin});
+    node.state = std::make_unique<State>(
+        ServingOptions{.instance = address,
+                       .peer_address = address,
+                       .data_centre = "z",
+                       .incarnation = ++lives_,
+                       .seed = lives_,
+                       .propagation_limit = kPropagationLimit});
     for (int k = 0; k < kDaemons; ++k) {
       if (k != i) {
         node.state->listed_peers.emplace("10.0.0." + std::to_string(k) + ":1",
@@ -209,7 +210,7 @@
     store_.Restore();
     away_until_ = now_ + away;
     write_again_at_ = away_until_ + written_after;
-    excused_until_ = write_again_at_ + kNewsWithin + kCalmAfter;
+    excused_until_ = write_again_at_ + kPropagationLimit + kRecoveryTime;
   }
   void WriteAgainDue() {
     if (write_again_at_ > now_) return;
@@ -218,13 +219,14 @@
   }
 
   void List(State& state, Time asked) {
-    Reduce(state, {.now = now_, .body = StoreEraSeen{store_.revision().era}});
+    Reduce(state,
+           {.now = now_, .body = StoreEpochObserved{store_.revision().epoch}});
     Reduce(state, {.now = now_, .body = Configuration(asked)});
     Reduce(state, {.now = now_, .body = SettledEra()});
     Reduce(state, {.now = now_, .body = Servers(asked)});
   }
   EventBody SettledEra() const {
-    return SettledEraSeen{.era = store_.settled_era()};
+    return ReconciledEpochObserved{.epoch = store_.settled_era()};
   }
   static serving::Configuration WithStamp(const ConfigurationStamp& stamp) {
     serving::Configuration configuration = MakeConfiguration(0);
@@ -233,11 +235,11 @@
     return configuration;
   }
   EventBody Configuration(Time asked) const {
-    return ConfigurationSeen{.configuration = WithStamp(store_.stored()),
-                             .asked = asked};
+    return ConfigurationReceived{.configuration = WithStamp(store_.stored()),
+                                 .queried_at = asked};
   }
   EventBody Servers(Time asked) const {
-    BackendsListed all{.revision = store_.revision(), .asked = asked};
+    BackendsListed all{.revision = store_.revision(), .queried_at = asked};
     for (const auto& [id, server] : store_.servers()) {
       all.backends.push_back(server);
     }
@@ -262,7 +264,7 @@
     messages_ = std::move(later);
     for (Message& it : due) {
       const bool dead =
-          it.life != 0 && it.life != nodes_[it.to].state->options.life;
+          it.life != 0 && it.life != nodes_[it.to].state->options.incarnation;
       if (!dead) Give(it.to, std::move(it.body));
     }
   }
@@ -296,7 +298,7 @@
         node.watching && IsStoreThere(node) && watches_muted_until_ <= now_;
     if (!told || node.watched == store_.revision()) return;
     node.watched = store_.revision();
-    Feed(i, StoreEraSeen{store_.revision().era});
+    Feed(i, StoreEpochObserved{store_.revision().epoch});
     Feed(i, Configuration(Time{}));
     Feed(i, SettledEra());
     Feed(i, Servers(Time{}));
@@ -313,24 +315,25 @@
 
   void Carry(std::size_t i, const Effect& effect) {
     std::visit(
-        Overloaded{[&](const AskStore& it) { AnswerQuestion(i, it); },
-                   [&](const ListStore&) { AnswerList(i); },
-                   [&](const ReadConfiguration& it) { AnswerRead(i, it); },
-                   [&](const WatchStore& it) { nodes_[i].watching = it.on; },
-                   [&](const WriteSettledEra& it) {
-                     if (ReachesStore(i)) store_.NoteSettledEra(it.era);
-                   },
-                   [&](const RelayStore& it) {
-                     for (const auto& [to, relay] : it.messages) {
-                       Send(i, to, StoreRelayReceived{relay});
-                     }
-                   },
-                   [&](const PublishSnapshot& it) {
-                     for (const std::string& to : it.to) {
-                       Send(i, to, SnapshotReceived{it.snapshot});
-                     }
-                   },
-                   [](const auto&) {}},
+        Overloaded{
+            [&](const PollStore& it) { AnswerQuestion(i, it); },
+            [&](const ListStore&) { AnswerList(i); },
+            [&](const ReadConfiguration& it) { AnswerRead(i, it); },
+            [&](const WatchStore& it) { nodes_[i].watching = it.enabled; },
+            [&](const WriteReconciledEpoch& it) {
+              if (ReachesStore(i)) store_.NoteSettledEra(it.epoch);
+            },
+            [&](const RelayStoreState& it) {
+              for (const auto& [to, relay] : it.messages) {
+                Send(i, to, StoreRelayReceived{relay});
+              }
+            },
+            [&](const PublishSnapshot& it) {
+              for (const std::string& to : it.to) {
+                Send(i, to, SnapshotReceived{it.snapshot});
+              }
+            },
+            [](const auto&) {}},
         effect);
   }
 
@@ -340,14 +343,14 @@
     return false;
   }
   // Answers tell the store as it was when the question came there.
-  void AnswerQuestion(std::size_t i, const AskStore& question) {
+  void AnswerQuestion(std::size_t i, const PollStore& question) {
     if (!ReachesStore(i)) return;
     const Time back = Back(i);
-    Answer(i, back, StoreEraSeen{store_.revision().era});
+    Answer(i, back, StoreEpochObserved{store_.revision().epoch});
     if (question.configuration == store_.stored().revision) {
       Answer(i, back,
              ConfigurationConfirmed{.revision = question.configuration,
-                                    .asked = now_});
+                                    .queried_at = now_});
     } else {
       Answer(i, back, Configuration(now_));
     }
@@ -356,22 +359,22 @@
   void AnswerList(std::size_t i) {
     if (!ReachesStore(i)) return;
     const Time back = Back(i);
-    Answer(i, back, StoreEraSeen{store_.revision().era});
+    Answer(i, back, StoreEpochObserved{store_.revision().epoch});
     Answer(i, back, Configuration(now_));
     Answer(i, back, SettledEra());
     Answer(i, back, Servers(now_));
   }
   // Another daemon tells it, or else the store.
   void AnswerRead(std::size_t i, const ReadConfiguration& read) {
-    const Node* from = FindNode(read.from);
+    const Node* from = FindNode(read.source_peer);
     const bool told = from != nullptr && from->mute_until <= now_ &&
                       nodes_[i].deaf_until <= now_ &&
                       !IsNewer(read.wanted, StampOf(*from));
     if (told) {
       Answer(i, now_ + kStep,
-             ConfigurationSeen{.configuration = WithStamp(StampOf(*from))});
+             ConfigurationReceived{.configuration = WithStamp(StampOf(*from))});
     } else if (ReachesStore(i)) {
-      Answer(i, Back(i), StoreEraSeen{store_.revision().era});
+      Answer(i, Back(i), StoreEpochObserved{store_.revision().epoch});
       Answer(i, Back(i), Configuration(now_));
     }
   }
@@ -388,7 +391,7 @@
   // When an answer is whole; that it began is seen at once.
   Time Back(std::size_t i) {
     if (crawls_until_ <= now_) return now_ + 2 * kStep;
-    Answer(i, now_ + 2 * kStep, StoreHeard{});
+    Answer(i, now_ + 2 * kStep, StoreResponded{});
     return now_ + crawl_;
   }
 
@@ -406,7 +409,7 @@
   void Answer(std::size_t to, Time due, EventBody body) {
     messages_.push_back({.due = due,
                          .to = to,
-                         .life = nodes_[to].state->options.life,
+                         .life = nodes_[to].state->options.incarnation,
                          .body = std::move(body)});
   }
 
@@ -429,10 +432,10 @@
     // A request that came now would be decided by now's clock.
     state.now = std::max(state.now, now_);
     const bool calm =
-        std::max(node.troubled_until + kCalmAfter, excused_until_) <= now_;
-    const bool looks = (now_ - kStart) % kLookEvery == Duration::zero();
+        std::max(node.troubled_until + kRecoveryTime, excused_until_) <= now_;
+    const bool looks = (now_ - kStart) % kCheckInterval == Duration::zero();
     if (!calm || !looks || !IsServing(state)) return;
-    const Time due = now_ - kNewsWithin;
+    const Time due = now_ - kPropagationLimit;
     if (store_.HadNewer(StampOf(node), due)) {
       Violate("a calm daemon serves by an old configuration");
     }
@@ -443,7 +446,7 @@
   void Violate(const std::string& what) { violations_.push_back(what); }
 
   Time now_ = kStart;
-  Store store_;
+  FakeStore store_;
   std::uint64_t lives_ = 0;
   std::vector<Node> nodes_;
   std::vector<Message> messages_;
@@ -462,9 +465,9 @@
   return rc::check(what, [kinds] {
     const auto steps =
         *rc::gen::container<std::vector<DrawnStep>>(AnyStep(kinds));
-    Fleet fleet;
-    for (const DrawnStep& it : steps) fleet.Play(it);
-    fleet.Calm();
+    RelayFleet fleet;
+    for (const DrawnStep& it : steps) fleet.ApplyStep(it);
+    fleet.CheckRecovery();
     if (!fleet.violations().empty()) RC_FAIL(fleet.violations().front());
   });
 }
--- a/serving/test/relay_store.h
+++ b/serving/test/relay_store.h
@@ -18,9 +18,9 @@
 //
 // It may be restored from a copy. Whoever wrote to it writes its last word
 // again after that.
-class Store {
+class FakeStore {
  public:
-  Store() {
+  FakeStore() {
     for (int i = 0; i < kServers; ++i) Put(i, false, kStart);
     Accept(1, kStart);
   }
@@ -29,12 +29,12 @@
   void MakeCopy() { copy_ = {revision_, stored_, servers_, settled_era_}; }
   // All that was taken since the copy is lost. The store says so itself.
   void Restore() {
-    ++revision_.era;
+    ++revision_.epoch;
     revision_.number = copy_.revision.number;
     stored_ = InThisEra(copy_.stored);
     servers_ = copy_.servers;
     settled_era_ = copy_.settled_era;
-    for (auto& [id, server] : servers_) server.revision.era = revision_.era;
+    for (auto& [id, server] : servers_) server.revision.epoch = revision_.epoch;
   }
   // The operators and the servers write what the copy lacks.
   void WriteAgain(Time now) {
@@ -42,9 +42,9 @@
     for (const auto& [id, server] : alive_) {
       const auto found = servers_.find(id);
       const bool same = found != servers_.end() &&
-                        found->second.born == server.born &&
+                        found->second.start_unix_ms == server.start_unix_ms &&
                         found->second.leaving == server.leaving &&
-                        found->second.fault == server.fault;
+                        found->second.entry_error == server.entry_error;
       if (!same) Write(server, now);
     }
     // Leases of those that have gone run out.
@@ -68,7 +68,7 @@
            .address = id + ":1",
            .slots = 8,
            .leaving = leaving,
-           .born = born_[id]},
+           .start_unix_ms = born_[id]},
           now);
   }
   // Another life under the same id.
@@ -81,13 +81,13 @@
     const std::string id = "app" + std::to_string(i);
     if (!servers_.contains(id) || born_[id] == 0) return;
     Put(i, true, now);
-    servers_[id].born -= 1000;
+    servers_[id].start_unix_ms -= 1000;
     alive_[id] = servers_[id];
     changes_.back().server = servers_[id];
   }
   // Somebody else writes what names no backend server.
   void Forge(int i, Time now) {
-    Write({.id = "app" + std::to_string(i), .fault = "state: ?"}, now);
+    Write({.id = "app" + std::to_string(i), .entry_error = "state: ?"}, now);
   }
   void Remove(int i, Time now) {
     const std::string id = "app" + std::to_string(i);
@@ -152,7 +152,7 @@
     return revision_;
   }
   ConfigurationStamp InThisEra(ConfigurationStamp stamp) const {
-    stamp.revision.era = revision_.era;
+    stamp.revision.epoch = revision_.epoch;
     return stamp;
   }
   void Accept(std::int64_t version, Time now) {
@@ -171,7 +171,7 @@
         {id, now, BackendServer{.id = id, .revision = Next()}, true});
   }
 
-  StoreRevision revision_{.era = 1, .number = 100};
+  StoreRevision revision_{.epoch = 1, .number = 100};
   ConfigurationStamp stored_;
   std::uint64_t settled_era_ = 0;
   Copy copy_;
--- a/serving/test/repeat_budget_test.cc
+++ b/serving/test/repeat_budget_test.cc
@@ -9,32 +9,34 @@
 const Time kStart{seconds(100)};
 
 // Plans and sends until there is no room; how many left.
-int SendAll(RepeatBudget& budget, Time now, double part) {
+int SendAll(RetryBudget& budget, Time now, double part) {
   int sent = 0;
-  while (budget.Plan(now, part) && budget.Send(now, part)) ++sent;
+  while (budget.ReserveRetry(now, part) && budget.CommitRetry(now, part))
+    ++sent;
   return sent;
 }
 
 TEST_CASE("Repeats keep to the ratio and a part of the slack") {
-  RepeatBudget budget({.ratio = 0.2, .slack = 90, .window = seconds(10)});
+  RetryBudget budget({.ratio = 0.2, .slack = 90, .window = seconds(10)});
   for (int i = 0; i < 100; ++i) budget.CountRequest(kStart);
   // Half of 0.2 x 100, nine tenths of 90 / 9.
   CHECK(SendAll(budget, kStart, 1.0 / 9) == 19);
 }
 
 TEST_CASE("Without a part of the slack repeats keep to the ratio") {
-  RepeatBudget budget({.ratio = 0.2, .slack = 90, .window = seconds(10)});
+  RetryBudget budget({.ratio = 0.2, .slack = 90, .window = seconds(10)});
   for (int i = 0; i < 100; ++i) budget.CountRequest(kStart);
   CHECK(SendAll(budget, kStart, 0) == 10);
 }
 
 TEST_CASE("No window of that length holds more, wherever it begins") {
   const Duration window = seconds(10);
-  RepeatBudget budget({.ratio = 0, .slack = 10, .window = window});
+  RetryBudget budget({.ratio = 0, .slack = 10, .window = window});
   std::vector<Time> spent;
   for (int i = 0; i < 4000; ++i) {
     const Time now = kStart + milliseconds(7) * i;
-    if (budget.Plan(now, 1) && budget.Send(now, 1)) spent.push_back(now);
+    if (budget.ReserveRetry(now, 1) && budget.CommitRetry(now, 1))
+      spent.push_back(now);
   }
   for (std::size_t i = 0; i < spent.size(); ++i) {
     std::size_t n = 0;
@@ -46,29 +48,29 @@
 }
 
 TEST_CASE("What is planned takes room until it is sent or dropped") {
-  RepeatBudget budget({.ratio = 0, .slack = 10, .window = seconds(10)});
+  RetryBudget budget({.ratio = 0, .slack = 10, .window = seconds(10)});
   int planned = 0;
-  while (budget.Plan(kStart, 1)) ++planned;
+  while (budget.ReserveRetry(kStart, 1)) ++planned;
   CHECK(planned == 9);
-  budget.Drop();
-  CHECK(budget.Plan(kStart, 1));
-  CHECK_FALSE(budget.Plan(kStart, 1));
+  budget.ReleaseRetry();
+  CHECK(budget.ReserveRetry(kStart, 1));
+  CHECK_FALSE(budget.ReserveRetry(kStart, 1));
   // It leaves a window later, and counts from then.
   const Time later = kStart + seconds(20);
-  for (int i = 0; i < planned; ++i) CHECK(budget.Send(later, 1));
-  CHECK_FALSE(budget.Plan(later + seconds(9), 1));
-  CHECK(budget.Plan(later + seconds(11), 1));
+  for (int i = 0; i < planned; ++i) CHECK(budget.CommitRetry(later, 1));
+  CHECK_FALSE(budget.ReserveRetry(later + seconds(9), 1));
+  CHECK(budget.ReserveRetry(later + seconds(11), 1));
 }
 
 TEST_CASE("What was planned by room that is gone is not sent") {
-  RepeatBudget budget({.ratio = 0, .slack = 10, .window = seconds(10)});
-  REQUIRE(budget.Plan(kStart, 1));
-  REQUIRE(budget.Plan(kStart, 1));
-  REQUIRE(budget.Plan(kStart, 1));
-  CHECK(budget.Send(kStart, 0.25));
-  CHECK(budget.Send(kStart, 0.25));
-  CHECK_FALSE(budget.Send(kStart, 0.25));
-  CHECK(budget.Account(kStart, 0.25).planned == 0);
+  RetryBudget budget({.ratio = 0, .slack = 10, .window = seconds(10)});
+  REQUIRE(budget.ReserveRetry(kStart, 1));
+  REQUIRE(budget.ReserveRetry(kStart, 1));
+  REQUIRE(budget.ReserveRetry(kStart, 1));
+  CHECK(budget.CommitRetry(kStart, 0.25));
+  CHECK(budget.CommitRetry(kStart, 0.25));
+  CHECK_FALSE(budget.CommitRetry(kStart, 0.25));
+  CHECK(budget.Usage(kStart, 0.25).reserved == 0);
 }
 
 // Found on daemons that were killed again and again while most requests were
@@ -78,12 +80,12 @@
   constexpr int kRate = 50;  // requests a second
   const Duration window = seconds(10);
   for (int killed = 0; killed <= 10; ++killed) {
-    RepeatBudget life({.ratio = 0.2, .slack = 0, .window = window});
+    RetryBudget life({.ratio = 0.2, .slack = 0, .window = window});
     int sent = 0;  // in the window that begins with the trouble
     for (int second = -10; second < 10; ++second) {
       const Time now = kStart + seconds(second);
       if (second == killed) {
-        life = RepeatBudget({.ratio = 0.2, .slack = 0, .window = window});
+        life = RetryBudget({.ratio = 0.2, .slack = 0, .window = window});
       }
       for (int i = 0; i < kRate; ++i) life.CountRequest(now);
       if (second >= 0) sent += SendAll(life, now, 0);
@@ -96,7 +98,7 @@
 TEST_CASE("Many daemons together keep to the slack") {
   int spent = 0;
   for (int daemon = 0; daemon < 40; ++daemon) {
-    RepeatBudget budget({.ratio = 0.2, .slack = 106, .window = seconds(10)});
+    RetryBudget budget({.ratio = 0.2, .slack = 106, .window = seconds(10)});
     spent += SendAll(budget, kStart, 1.0 / 40);
   }
   CHECK(spent <= 106);
--- a/serving/test/server_limits_test.cc
+++ b/serving/test/server_limits_test.cc
@@ -7,31 +7,32 @@
 #include <functional>
 #include <random>
 
-#include "hall_load.h"
+#include "simulated_fleet_load.h"
 
 namespace scaleshed::serving::test {
 namespace {
 
 // Short prompts fill the first engines of an order: half of them, so that those
 // are among them.
-void LimitEngines(Hall& hall, int engines, double per_second) {
+void LimitEngines(SimulatedFleet& hall, int engines, double per_second) {
   for (int i = 0; i < engines; i += 2) {
-    hall.NameLimit("llm" + std::to_string(i), per_second);
+    hall.SetRateLimit("llm" + std::to_string(i), per_second);
   }
 }
 
 // Every server of the prompts' service, and of the plain one.
-void LimitAll(Hall& hall, const HallOptions& options, double engines,
-              double plain) {
+void LimitAll(SimulatedFleet& hall, const SimulatedFleetOptions& options,
+              double engines, double plain) {
   for (int i = 0; i < options.engines; ++i) {
-    hall.NameLimit("llm" + std::to_string(i), engines);
+    hall.SetRateLimit("llm" + std::to_string(i), engines);
   }
-  for (int i = 0; i < options.plain; ++i) {
-    hall.NameLimit("app" + std::to_string(i), plain);
+  for (int i = 0; i < options.plain_servers; ++i) {
+    hall.SetRateLimit("app" + std::to_string(i), plain);
   }
 }
 
-double MeanPartUsed(const Hall& hall, const std::string& service, int servers) {
+double MeanPartUsed(const SimulatedFleet& hall, const std::string& service,
+                    int servers) {
   double sum = 0;
   for (int i = 0; i < servers; ++i) {
     sum += hall.ledger().PartUsed(service + std::to_string(i));
@@ -40,50 +41,50 @@
 }
 
 TEST_CASE("Few daemons keep to a server's limit together") {
-  Hall hall(kFew);
-  LimitEngines(hall, kFew.engines, 1);
-  hall.NameLimit("app1", 1.5);
-  const Outcome outcome =
-      Play(hall, kFew.daemons, {.prompts = 45, .calls = 12});
-  CheckHeld(hall);
-  CHECK(outcome.served == outcome.asked);
+  SimulatedFleet hall(kSmallFleet);
+  LimitEngines(hall, kSmallFleet.engines, 1);
+  hall.SetRateLimit("app1", 1.5);
+  const LoadResult outcome =
+      RunLoad(hall, kSmallFleet.daemons, {.prompts = 45, .calls = 12});
+  CheckServerLimitsHeld(hall);
+  CHECK(outcome.answered == outcome.sent);
 }
 
 TEST_CASE("Many daemons keep to a server's limit together") {
-  Hall hall(kMany);
-  LimitEngines(hall, kMany.engines, 1);
-  hall.NameLimit("app1", 2);
-  const Outcome outcome =
-      Play(hall, kMany.daemons, {.prompts = 120, .calls = 30});
-  CheckHeld(hall);
-  CHECK(outcome.served == outcome.asked);
+  SimulatedFleet hall(kMediumFleet);
+  LimitEngines(hall, kMediumFleet.engines, 1);
+  hall.SetRateLimit("app1", 2);
+  const LoadResult outcome =
+      RunLoad(hall, kMediumFleet.daemons, {.prompts = 120, .calls = 30});
+  CheckServerLimitsHeld(hall);
+  CHECK(outcome.answered == outcome.sent);
 }
 
 TEST_CASE("A crowd of daemons keeps to a server's limit together") {
-  Hall hall(kCrowd);
-  LimitEngines(hall, kCrowd.engines, 0.5);
-  hall.NameLimit("app1", 1);
-  const Outcome outcome =
-      Play(hall, kCrowd.daemons,
-           {.prompts = 150, .calls = 40, .length = seconds(9)});
-  CheckHeld(hall);
-  CHECK(outcome.served == outcome.asked);
+  SimulatedFleet hall(kLargeFleet);
+  LimitEngines(hall, kLargeFleet.engines, 0.5);
+  hall.SetRateLimit("app1", 1);
+  const LoadResult outcome =
+      RunLoad(hall, kLargeFleet.daemons,
+              {.prompts = 150, .calls = 40, .length = seconds(9)});
+  CheckServerLimitsHeld(hall);
+  CHECK(outcome.answered == outcome.sent);
 }
 
 // What is asked for is twice what all servers take: these are used, what can't
 // be served is rejected at once, and the rest is served in its objective.
-void CheckOverload(const HallOptions& options, const Load& load, double engines,
-                   double plain) {
-  Hall hall(options);
+void CheckOverload(const SimulatedFleetOptions& options, const Load& load,
+                   double engines, double plain) {
+  SimulatedFleet hall(options);
   LimitAll(hall, options, engines, plain);
-  const Outcome outcome = Play(hall, options.daemons, load);
-  CheckHeld(hall);
+  const LoadResult outcome = RunLoad(hall, options.daemons, load);
+  CheckServerLimitsHeld(hall);
   CHECK(MeanPartUsed(hall, "llm", options.engines) > 0.9);
-  CHECK(MeanPartUsed(hall, "app", options.plain) > 0.9);
-  CHECK(outcome.served + hall.refused().size() == outcome.asked);
+  CHECK(MeanPartUsed(hall, "app", options.plain_servers) > 0.9);
+  CHECK(outcome.answered + hall.refused().size() == outcome.sent);
   std::size_t at_once = 0;
   for (const auto& it : hall.refused()) {
-    CHECK(it.refusal.why == Refusal::kLimited);
+    CHECK(it.refusal.reason == Refusal::kRateLimited);
     CHECK(it.refusal.retry_after > Duration::zero());
     if (it.after < milliseconds(50)) ++at_once;
   }
@@ -92,60 +93,60 @@
 }
 
 TEST_CASE("Few daemons use the limits of all servers, and reject the rest") {
-  CheckOverload(kFew, {.prompts = 72, .calls = 12}, 2, 2);
+  CheckOverload(kSmallFleet, {.prompts = 72, .calls = 12}, 2, 2);
 }
 
 TEST_CASE("Many daemons use the limits of all servers, and reject the rest") {
-  CheckOverload(kMany, {.prompts = 128, .calls = 16}, 2, 2);
+  CheckOverload(kMediumFleet, {.prompts = 128, .calls = 16}, 2, 2);
 }
 
 // Each daemon may save a start of its own where each meters for itself.
 TEST_CASE("A burst after a quiet time finds no starts saved by each of many") {
-  Hall hall(kMany);
-  LimitAll(hall, kMany, 1, 1);
-  (void)Play(hall, kMany.daemons,
-             {.prompts = 60, .calls = 60, .length = seconds(6)});
-  hall.Pass(seconds(70));
-  (void)Play(hall, kMany.daemons,
-             {.prompts = 300, .calls = 300, .length = seconds(1)});
-  CheckHeld(hall);
+  SimulatedFleet hall(kMediumFleet);
+  LimitAll(hall, kMediumFleet, 1, 1);
+  (void)RunLoad(hall, kMediumFleet.daemons,
+                {.prompts = 60, .calls = 60, .length = seconds(6)});
+  hall.AdvanceTime(seconds(70));
+  (void)RunLoad(hall, kMediumFleet.daemons,
+                {.prompts = 300, .calls = 300, .length = seconds(1)});
+  CheckServerLimitsHeld(hall);
 }
 
 // Twice in a row the daemons that place for all fall silent.
 TEST_CASE("Limits are kept to while placers are lost") {
-  Hall hall(kMany);
-  LimitEngines(hall, kMany.engines, 1);
-  hall.NameLimit("app1", 1);
+  SimulatedFleet hall(kMediumFleet);
+  LimitEngines(hall, kMediumFleet.engines, 1);
+  hall.SetRateLimit("app1", 1);
   const Time begin = hall.now();
   int frozen = 0;
-  (void)Play(hall, kMany.daemons, {.prompts = 120, .calls = 30}, [&] {
+  (void)RunLoad(hall, kMediumFleet.daemons, {.prompts = 120, .calls = 30}, [&] {
     if (frozen >= 2 || hall.now() < begin + seconds(4) * (frozen + 1)) return;
     ++frozen;
     for (const std::string& it : hall.state(frozen * 9).dispatch.placers) {
-      hall.Freeze(std::stoi(it.substr(1)));
+      hall.FreezeDaemon(std::stoi(it.substr(1)));
     }
   });
   CHECK(frozen == 2);
-  CheckHeld(hall);
+  CheckServerLimitsHeld(hall);
 }
 
 TEST_CASE("Limits are kept to while daemons are killed and start again") {
-  for (const HallOptions& options : {kFew, kMany}) {
-    Hall hall(options);
+  for (const SimulatedFleetOptions& options : {kSmallFleet, kMediumFleet}) {
+    SimulatedFleet hall(options);
     LimitEngines(hall, options.engines, 1);
-    hall.NameLimit("app1", 1);
+    hall.SetRateLimit("app1", 1);
     std::mt19937 random(5);
     int steps = 0;
-    (void)Play(hall, options.daemons, {.prompts = 60, .calls = 20}, [&] {
+    (void)RunLoad(hall, options.daemons, {.prompts = 60, .calls = 20}, [&] {
       if (++steps % 100 != 0) return;
       for (int i = 0; i < options.daemons; ++i) {
-        if (random() % 3 == 0) hall.Restart(i);
+        if (random() % 3 == 0) hall.RestartDaemon(i);
       }
     });
-    CheckHeld(hall);
+    CheckServerLimitsHeld(hall);
     // A placer that has just started places as if it knew of no limit, and is
     // told of each once.
-    const std::size_t untold = hall.lines("placer_unaware");
+    const std::size_t untold = hall.log_line_count("placer_unaware");
     CHECK(untold < 400);
     CHECK((untold > 0) == (options.daemons > 16));
   }
@@ -154,67 +155,76 @@
 // Words come, change and go while daemons are killed, freeze and are cut off.
 TEST_CASE("What servers say is kept to in any order of words and faults") {
   constexpr double kRates[] = {0, 0.1, 0.7, 2.5, 9, 1000};
-  for (const HallOptions& options :
-       {kFew, HallOptions{.daemons = 24, .engines = 20, .plain = 3},
-        HallOptions{.daemons = 8, .engines = 18, .plain = 3, .loss = 0.05},
-        HallOptions{.daemons = 24, .engines = 20, .plain = 3, .loss = 0.05}}) {
+  for (const SimulatedFleetOptions& options :
+       {kSmallFleet,
+        SimulatedFleetOptions{.daemons = 24, .engines = 20, .plain_servers = 3},
+        SimulatedFleetOptions{.daemons = 8,
+        .engines = 18,
+        .plain_servers = 3,
+        .message_loss_share = 0.05},
+        SimulatedFleetOptions{.daemons = 24,
+        .engines = 20,
+        .plain_servers = 3,
+        .message_loss_share = 0.05}}) {
     for (const unsigned seed : {1, 2, 3, 4, 5, 6}) {
-      Hall hall(options);
+      SimulatedFleet hall(options);
       std::mt19937 random(seed);
       const auto one_of = [&](int n) {
         return static_cast<int>(random() % static_cast<unsigned>(n));
       };
       int steps = 0;
-      (void)Play(hall, options.daemons, {.prompts = 60, .calls = 20}, [&] {
+      (void)RunLoad(hall, options.daemons, {.prompts = 60, .calls = 20}, [&] {
         if (++steps % 20 != 0) return;
         const int daemon = one_of(options.daemons);
         const std::string engine =
             "llm" + std::to_string(one_of(options.engines));
-        const std::string plain = "app" + std::to_string(one_of(options.plain));
+        const std::string plain =
+            "app" + std::to_string(one_of(options.plain_servers));
         const std::string server = one_of(3) == 0 ? plain : engine;
         switch (one_of(10)) {
           case 0:
-            return hall.Restart(daemon);
+            return hall.RestartDaemon(daemon);
           case 1:
-            return hall.Freeze(daemon);
+            return hall.FreezeDaemon(daemon);
           case 2:
-            return hall.Freeze(daemon, false);
+            return hall.FreezeDaemon(daemon, false);
           case 3:
-            return hall.Isolate(daemon, true);
+            return hall.IsolateDaemon(daemon, true);
           case 4:
-            return hall.Isolate(daemon, false);
+            return hall.IsolateDaemon(daemon, false);
           case 5:
-            return hall.NameLimit(server, std::nullopt);
+            return hall.SetRateLimit(server, std::nullopt);
           case 6:
             // Some are to be left.
-            return one_of(4) == 0 ? hall.Leave(engine) : void();
+            return one_of(4) == 0 ? hall.SetLeaving(engine) : void();
           case 7:
-            return hall.AskRest(server, milliseconds(700) * one_of(5));
+            return hall.SetBackoff(server, milliseconds(700) * one_of(5));
           default:
-            return hall.NameLimit(server, kRates[one_of(std::size(kRates))]);
+            return hall.SetRateLimit(server, kRates[one_of(std::size(kRates))]);
         }
       });
       INFO(options.daemons << " daemons, seed " << seed);
-      CheckHeld(hall);
+      CheckServerLimitsHeld(hall);
     }
   }
 }
 
 TEST_CASE("A limit of none lets one in now and then, to hear when it is over") {
-  Hall hall(kFew);
-  for (int i = 0; i < kFew.plain; ++i) {
-    hall.NameLimit("app" + std::to_string(i), 0);
+  SimulatedFleet hall(kSmallFleet);
+  for (int i = 0; i < kSmallFleet.plain_servers; ++i) {
+    hall.SetRateLimit("app" + std::to_string(i), 0);
   }
-  (void)Play(hall, kFew.daemons, {.prompts = 0, .calls = 20});
-  for (int i = 0; i < kFew.plain; ++i) {
-    hall.NameLimit("app" + std::to_string(i), std::nullopt);
+  (void)RunLoad(hall, kSmallFleet.daemons, {.prompts = 0, .calls = 20});
+  for (int i = 0; i < kSmallFleet.plain_servers; ++i) {
+    hall.SetRateLimit("app" + std::to_string(i), std::nullopt);
   }
-  (void)Play(hall, kFew.daemons, {.prompts = 0, .calls = 20});
+  (void)RunLoad(hall, kSmallFleet.daemons, {.prompts = 0, .calls = 20});
   const std::size_t refused = hall.refused().size();
-  const Outcome outcome = Play(
-      hall, kFew.daemons, {.prompts = 0, .calls = 20, .length = seconds(2)});
+  const LoadResult outcome =
+      RunLoad(hall, kSmallFleet.daemons,
+              {.prompts = 0, .calls = 20, .length = seconds(2)});
   CHECK(hall.refused().size() == refused);
-  CHECK(outcome.served == outcome.asked);
+  CHECK(outcome.answered == outcome.sent);
 }
 
 }  // namespace
--- a/serving/test/server_words_test.cc
+++ b/serving/test/server_words_test.cc
@@ -14,7 +14,7 @@
                                           const std::string& what) {
   for (const Effect& it : daemon.effects()) {
     const auto* line = std::get_if<LogDecision>(&it);
-    if (line == nullptr || line->what != what) continue;
+    if (line == nullptr || line->event != what) continue;
     return {line->fields.begin(), line->fields.end()};
   }
   return {};
@@ -22,13 +22,13 @@
 
 // The attempt of a request that is sent.
 AttemptId SendOne(Daemon& daemon) {
-  daemon.Ask("stream");
-  REQUIRE(daemon.First<StartAttempt>() != nullptr);
-  return daemon.First<StartAttempt>()->attempt;
+  daemon.SendRequest("stream");
+  REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
+  return daemon.FirstEffect<StartAttempt>()->attempt;
 }
 
-AnswerBegun Limited(AttemptId attempt, std::optional<double> limit) {
-  return {.attempt = attempt, .word = {.limit = limit}};
+ResponseHeadReceived Limited(AttemptId attempt, std::optional<double> limit) {
+  return {.attempt = attempt, .signals = {.rate_limit = limit}};
 }
 
 TEST_CASE("A limit is logged when it is named, changes and ends") {
@@ -51,9 +51,9 @@
 
 TEST_CASE("A limit ends by an answer without it, of a request sent since") {
   Daemon daemon;
-  for (int i = 1; i < 6; ++i) daemon.List("llm", i, /*leaving=*/true);
+  for (int i = 1; i < 6; ++i) daemon.ListBackend("llm", i, /*leaving=*/true);
   daemon.Feed(Limited(SendOne(daemon), 50));
-  daemon.Pass(milliseconds(200));
+  daemon.AdvanceTime(milliseconds(200));
   const AttemptId second = SendOne(daemon);
   daemon.Feed(Limited(second, std::nullopt));
   CHECK(LineOf(daemon, "server_limit")["what"] == "ended");
@@ -62,51 +62,51 @@
 // A daemon that seldom sends to a server tells of a limit that is long over.
 TEST_CASE("An older word of another daemon doesn't bring a limit back") {
   Daemon daemon;
-  for (int i = 1; i < 6; ++i) daemon.List("llm", i, /*leaving=*/true);
+  for (int i = 1; i < 6; ++i) daemon.ListBackend("llm", i, /*leaving=*/true);
   const AttemptId first = SendOne(daemon);
   const BackendId engine = daemon.state().requests.begin()->second.backend;
   daemon.Feed(Limited(first, 50));
   const Time named = daemon.now();
-  daemon.Pass(milliseconds(200));
+  daemon.AdvanceTime(milliseconds(200));
   daemon.Feed(Limited(SendOne(daemon), std::nullopt));
   for (int i = 0; i < 30; ++i) {
-    daemon.Confirm();
-    daemon.Pass(milliseconds(1000));
+    daemon.ConfirmStore();
+    daemon.AdvanceTime(milliseconds(1000));
   }
   LoadSnapshot told = PeerSnapshot(1);
-  told.limits = {{.backend = engine, .per_second = 2, .heard = named}};
+  told.limits = {{.backend = engine, .per_second = 2, .received_at = named}};
   daemon.Feed(SnapshotReceived{told});
-  CHECK_FALSE(daemon.state().limits.at(engine).named.per_second);
+  CHECK_FALSE(daemon.state().limits.at(engine).limit.per_second);
   told.sequence = 2;
-  told.limits.front().heard = daemon.now();
+  told.limits.front().received_at = daemon.now();
   daemon.Feed(SnapshotReceived{told});
-  CHECK(daemon.state().limits.at(engine).named.per_second == 2.0);
+  CHECK(daemon.state().limits.at(engine).limit.per_second == 2.0);
 }
 
 // Reports are among the requests that a server counts.
 TEST_CASE("An engine that has named a limit isn't asked for reports") {
   Daemon daemon;
-  daemon.Ask("stream");
+  daemon.SendRequest("stream");
   const BackendId engine = daemon.state().requests.begin()->second.backend;
-  daemon.Feed(Limited(daemon.First<StartAttempt>()->attempt, 1));
+  daemon.Feed(Limited(daemon.FirstEffect<StartAttempt>()->attempt, 1));
   std::size_t others = 0;
   daemon.Observe([&](const Effects& effects) {
     for (const Effect& it : effects) {
-      const auto* report = std::get_if<AskReport>(&it);
+      const auto* report = std::get_if<FetchEngineReport>(&it);
       if (report == nullptr) continue;
       CHECK(report->backend != engine);
       ++others;
     }
   });
   for (int i = 0; i < 10; ++i) {
-    daemon.Confirm();
-    daemon.Pass(milliseconds(400));
+    daemon.ConfirmStore();
+    daemon.AdvanceTime(milliseconds(400));
   }
   CHECK(others > 0);
 }
 
-AnswerBegun Leaving(AttemptId attempt) {
-  return {.attempt = attempt, .word = {.leaving = true}};
+ResponseHeadReceived Leaving(AttemptId attempt) {
+  return {.attempt = attempt, .signals = {.leaving = true}};
 }
 
 // An entry of that life of the engine of that number.
@@ -117,17 +117,17 @@
            .address = id + ":1",
            .slots = 16,
            .revision = {.number = revision},
-           .born = born}};
+           .start_unix_ms = born}};
 }
 
 bool IsOpen(Daemon& daemon, const std::string& id) {
   const Backend& backend = daemon.state().backends.at(id);
-  return backend.server.fault.empty() && !backend.server.leaving;
+  return backend.server.entry_error.empty() && !backend.server.leaving;
 }
 
 TEST_CASE("A word of leaving outlasts an entry that lapses and comes back") {
   Daemon daemon;
-  for (int i = 1; i < 6; ++i) daemon.List("llm", i, /*leaving=*/true);
+  for (int i = 1; i < 6; ++i) daemon.ListBackend("llm", i, /*leaving=*/true);
   daemon.Feed(Entry(0, 100, 7));
   daemon.Feed(Leaving(SendOne(daemon)));
   CHECK(LineOf(daemon, "server_leaving")["request"] == "r1");
@@ -148,7 +148,7 @@
   Daemon daemon;
   const BackendServer server = Entry(9, 100, 7).backend;
   LoadSnapshot told = PeerSnapshot(1);
-  told.leaving = {HashBytes(server.id, server.born)};
+  told.leaving = {HashBytes(server.id, server.start_unix_ms)};
   daemon.Feed(SnapshotReceived{told});
   daemon.Feed(Entry(9, 100, 7));
   CHECK_FALSE(IsOpen(daemon, "llm9"));
@@ -156,53 +156,57 @@
 
 TEST_CASE("A request is refused at once where all its servers leave") {
   Daemon daemon;
-  for (int i = 1; i < 3; ++i) daemon.List("app", i, /*leaving=*/true);
-  daemon.Ask("safe");
-  daemon.Feed(Leaving(daemon.First<StartAttempt>()->attempt));
-  daemon.Ask("safe");
-  REQUIRE(daemon.First<Refuse>() != nullptr);
-  CHECK(daemon.First<Refuse>()->why == Refusal::kNoBackend);
+  for (int i = 1; i < 3; ++i) daemon.ListBackend("app", i, /*leaving=*/true);
+  daemon.SendRequest("safe");
+  daemon.Feed(Leaving(daemon.FirstEffect<StartAttempt>()->attempt));
+  daemon.SendRequest("safe");
+  REQUIRE(daemon.FirstEffect<Refuse>() != nullptr);
+  CHECK(daemon.FirstEffect<Refuse>()->reason == Refusal::kNoBackend);
 }
 
 void RefuseWithRest(Daemon& daemon, AttemptId attempt, Duration rest) {
-  daemon.Feed(AnswerBegun{.attempt = attempt, .word = {.rest = rest}});
+  daemon.Feed(
+      ResponseHeadReceived{.attempt = attempt, .signals = {.backoff = rest}});
   daemon.Feed(AttemptAnswered{
       .attempt = attempt, .kind = AnswerKind::kNotRun, .status = 503});
 }
 
 TEST_CASE("A request is refused with what is left where all want rest") {
   Daemon daemon;
-  for (int i = 1; i < 3; ++i) daemon.List("app", i, /*leaving=*/true);
-  daemon.Ask("safe");
-  RefuseWithRest(daemon, daemon.First<StartAttempt>()->attempt, seconds(3));
-  daemon.Pass(milliseconds(1000));
-  daemon.Confirm();
-  daemon.Ask("safe");
-  REQUIRE(daemon.First<Refuse>() != nullptr);
-  CHECK(daemon.First<Refuse>()->why == Refusal::kResting);
-  CHECK(daemon.First<Refuse>()->status == 503);
-  CHECK(daemon.First<Refuse>()->retry_after == milliseconds(2000));
-  daemon.Pass(milliseconds(1900));
-  daemon.Confirm();
-  daemon.Pass(milliseconds(101));
-  daemon.Ask("safe");
-  CHECK(daemon.First<StartAttempt>() != nullptr);
+  for (int i = 1; i < 3; ++i) daemon.ListBackend("app", i, /*leaving=*/true);
+  daemon.SendRequest("safe");
+  RefuseWithRest(daemon, daemon.FirstEffect<StartAttempt>()->attempt,
+                 seconds(3));
+  daemon.AdvanceTime(milliseconds(1000));
+  daemon.ConfirmStore();
+  daemon.SendRequest("safe");
+  REQUIRE(daemon.FirstEffect<Refuse>() != nullptr);
+  CHECK(daemon.FirstEffect<Refuse>()->reason == Refusal::kBackendsBackingOff);
+  CHECK(daemon.FirstEffect<Refuse>()->status == 503);
+  CHECK(daemon.FirstEffect<Refuse>()->retry_after == milliseconds(2000));
+  daemon.AdvanceTime(milliseconds(1900));
+  daemon.ConfirmStore();
+  daemon.AdvanceTime(milliseconds(101));
+  daemon.SendRequest("safe");
+  CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
 TEST_CASE("A rest that is asked for again lasts as long as the longer one") {
   Daemon daemon;
   const AttemptId first = SendOne(daemon);
   const BackendId server = daemon.state().requests.begin()->second.backend;
-  daemon.Feed(AnswerBegun{.attempt = first, .word = {.rest = seconds(3)}});
+  daemon.Feed(ResponseHeadReceived{.attempt = first,
+                                   .signals = {.backoff = seconds(3)}});
   CHECK(LineOf(daemon, "server_rest")["what"] == "asked");
-  daemon.Feed(AnswerBegun{.attempt = first, .word = {.rest = seconds(1)}});
+  daemon.Feed(ResponseHeadReceived{.attempt = first,
+                                   .signals = {.backoff = seconds(1)}});
   CHECK(LineOf(daemon, "server_rest")["for_ms"] == "3000");
-  CHECK(daemon.state().rests.at(server) == daemon.now() + seconds(3));
+  CHECK(daemon.state().backoffs.at(server) == daemon.now() + seconds(3));
 }
 
 // Of many daemons, which asks that placer.
 void AskPlacers(Daemon& daemon) {
-  daemon.state().dispatch.all_place = false;
+  daemon.state().dispatch.place_locally = false;
   daemon.state().dispatch.placers = {"2.2.2.2:2"};
 }
 
@@ -211,50 +215,52 @@
   Daemon daemon;
   AskPlacers(daemon);
   const BackendId resting = daemon.state().backends.at("llm3").id;
-  daemon.state().rests[resting] = daemon.now() + seconds(3);
-  const RequestKey key = daemon.Ask("stream");
-  REQUIRE(daemon.First<AskPlacer>() != nullptr);
-  const PlaceQuestion question = daemon.First<AskPlacer>()->question;
-  CHECK(question.resting == std::vector<BackendId>{resting});
+  daemon.state().backoffs[resting] = daemon.now() + seconds(3);
+  const RequestKey key = daemon.SendRequest("stream");
+  REQUIRE(daemon.FirstEffect<RequestPlacement>() != nullptr);
+  const PlacementRequest question =
+      daemon.FirstEffect<RequestPlacement>()->request;
+  CHECK(question.backing_off == std::vector<BackendId>{resting});
   // Decided before the placer heard the question that names it.
-  PlaceAnswer answer{.peer_address = "2.2.2.2:2",
-                     .life = question.life,
-                     .id = key,
-                     .round = question.round,
-                     .outcome = PlaceOutcome::kPlaced,
-                     .placed = {.backend = resting}};
-  daemon.Feed(PlaceAnswerReceived{answer});
-  CHECK(daemon.First<StartAttempt>() == nullptr);
+  PlacementResponse answer{.peer_address = "2.2.2.2:2",
+                           .incarnation = question.incarnation,
+                           .id = key,
+                           .attempt_number = question.attempt_number,
+                           .outcome = PlacementOutcome::kPlaced,
+                           .placement = {.backend = resting}};
+  daemon.Feed(PlacementResponseReceived{answer});
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
 }
 
 // A placer decides for a daemon from which servers want rest, and not from it.
 TEST_CASE("A placer leaves those alone that want rest from who asks") {
   Daemon placer;
-  placer.state().dispatch.all_place = true;
-  PlaceQuestion question{.peer_address = "2.2.2.2:2",
-                         .life = 1,
-                         .id = 5,
-                         .request = "r",
-                         .service = "llm",
-                         .prompt_tokens = 2000,
-                         .answer_tokens = 500,
-                         .arrived = placer.now(),
-                         .due = placer.now() + seconds(3),
-                         .deadline = placer.now() + seconds(10)};
+  placer.state().dispatch.place_locally = true;
+  PlacementRequest question{.peer_address = "2.2.2.2:2",
+                            .incarnation = 1,
+                            .id = 5,
+                            .request = "r",
+                            .service = "llm",
+                            .prompt_tokens = 2000,
+                            .answer_tokens = 500,
+                            .arrived = placer.now(),
+                            .due = placer.now() + seconds(3),
+                            .deadline = placer.now() + seconds(10)};
   for (const auto& [id, backend] : placer.state().backends) {
-    if (id != "llm3") question.resting.push_back(backend.id);
+    if (id != "llm3") question.backing_off.push_back(backend.id);
   }
-  placer.Feed(PlaceQuestionReceived{question});
-  REQUIRE(placer.First<AnswerPlace>() != nullptr);
-  CHECK(placer.First<AnswerPlace>()->answer.placed.backend ==
+  placer.Feed(PlacementRequestReceived{question});
+  REQUIRE(placer.FirstEffect<RespondToPlacement>() != nullptr);
+  CHECK(placer.FirstEffect<RespondToPlacement>()->response.placement.backend ==
         placer.state().backends.at("llm3").id);
   question.id = 6;
-  question.resting.push_back(placer.state().backends.at("llm3").id);
-  placer.Feed(PlaceQuestionReceived{question});
-  REQUIRE(placer.First<AnswerPlace>() != nullptr);
-  const PlaceAnswer& refused = placer.First<AnswerPlace>()->answer;
-  CHECK(refused.outcome == PlaceOutcome::kRefused);
-  CHECK(refused.shortage == Shortage::kRest);
+  question.backing_off.push_back(placer.state().backends.at("llm3").id);
+  placer.Feed(PlacementRequestReceived{question});
+  REQUIRE(placer.FirstEffect<RespondToPlacement>() != nullptr);
+  const PlacementResponse& refused =
+      placer.FirstEffect<RespondToPlacement>()->response;
+  CHECK(refused.outcome == PlacementOutcome::kRefused);
+  CHECK(refused.shortage == Shortage::kBackoff);
 }
 
 }  // namespace
--- a/serving/test/serving_harness.h
+++ b/serving/test/serving_harness.h
@@ -21,7 +21,7 @@
           .kind = kind,
           .timeout = seconds(15),
           .objective = seconds(3),
-          .longest_pause = milliseconds(800),
+          .max_event_gap = milliseconds(800),
           .shares = {{.service = service}},
           .max_sends = max_sends};
 }
@@ -40,8 +40,8 @@
       .engine = EngineTiming{.slots = 16,
                              .memory_tokens = 450'000,
                              .step_ms = 0.925,
-                             .read_tokens_per_ms = 256,
-                             .pairs_ms_per_million = 0.0917,
+                             .prefill_tokens_per_ms = 256,
+                             .attention_ms_per_million_pairs = 0.0917,
                              .tokens_per_event = 46}};
   configuration.accounts = {{.name = "acme", .keys = {"k"}}};
   return configuration;
@@ -51,7 +51,7 @@
 inline LoadSnapshot PeerSnapshot(std::uint64_t sequence) {
   return {.instance = "2.2.2.2:1",
           .peer_address = "2.2.2.2:2",
-          .life = 1,
+          .incarnation = 1,
           .sequence = sequence,
           .serving = true};
 }
@@ -59,8 +59,8 @@
 // A daemon's part of the slack of repeats stands as after a long while, and for
 // a longer one.
 inline void HoldSlack(SlackShare& slack) {
-  slack.EntryHeld(kStart - seconds(60), kStart + seconds(3600), true);
-  slack.DaemonsCounted(kStart + seconds(3600));
+  slack.OnEntryConfirmed(kStart - seconds(60), kStart + seconds(3600), true);
+  slack.OnDaemonsCounted(kStart + seconds(3600));
 }
 
 // A reducer under a scripted clock, with six engines and three plain backend
@@ -70,16 +70,16 @@
   Daemon()
       : state_({.instance = "1.1.1.1:1",
                 .peer_address = "1.1.1.1:2",
-                .repeats = {.slack = 1000}}) {
-    HoldSlack(state_.slack);
-    Feed(ConfigurationSeen{.configuration = MakeConfiguration(1),
-                           .asked = kStart});
-    for (int i = 0; i < 6; ++i) List("llm", i);
-    for (int i = 0; i < 3; ++i) List("app", i);
-    Feed(BackendsConfirmed{.asked = kStart});
+                .retry_budget = {.slack = 1000}}) {
+    HoldSlack(state_.slack_share);
+    Feed(ConfigurationReceived{.configuration = MakeConfiguration(1),
+                               .queried_at = kStart});
+    for (int i = 0; i < 6; ++i) ListBackend("llm", i);
+    for (int i = 0; i < 3; ++i) ListBackend("app", i);
+    Feed(BackendsConfirmed{.queried_at = kStart});
   }
 
-  void List(const std::string& service, int i, bool leaving = false) {
+  void ListBackend(const std::string& service, int i, bool leaving = false) {
     const std::string id = service + std::to_string(i);
     Feed(BackendListed{{.id = id,
                         .service = service,
@@ -99,7 +99,7 @@
     observer_ = std::move(observer);
   }
   // Time passes with the ticks that were asked for.
-  void Pass(Duration time) {
+  void AdvanceTime(Duration time) {
     const Time until = now_ + time;
     Effects all;
     while (now_ < until) {
@@ -111,27 +111,27 @@
     effects_ = std::move(all);
   }
   // All that it knows of the store is the newest.
-  void Confirm() {
-    Feed(ConfigurationConfirmed{.revision = {.number = 1}, .asked = now_});
-    Feed(BackendsConfirmed{.asked = now_});
+  void ConfirmStore() {
+    Feed(ConfigurationConfirmed{.revision = {.number = 1}, .queried_at = now_});
+    Feed(BackendsConfirmed{.queried_at = now_});
   }
 
-  RequestKey Ask(const std::string& route, std::int64_t prompt = 2000,
-                 Duration deadline = seconds(15)) {
+  RequestKey SendRequest(const std::string& route, std::int64_t prompt = 2000,
+                         Duration deadline = seconds(15)) {
     const RequestKey key = ++last_key_;
     Feed(RequestArrived{.key = key,
-                        .facts = {.id = "r" + std::to_string(key),
-                                  .host = "h",
-                                  .path = "/" + route + "/x",
-                                  .keys = {"k"},
-                                  .deadline = deadline,
-                                  .prompt_tokens = prompt,
-                                  .answer_tokens = 500}});
+                        .metadata = {.id = "r" + std::to_string(key),
+                                     .host = "h",
+                                     .path = "/" + route + "/x",
+                                     .keys = {"k"},
+                                     .deadline = deadline,
+                                     .prompt_tokens = prompt,
+                                     .answer_tokens = 500}});
     return key;
   }
 
   template <typename T>
-  const T* First() const {
+  const T* FirstEffect() const {
     for (const Effect& it : effects_) {
       if (const T* found = std::get_if<T>(&it)) return found;
     }
--- a/serving/test/hall.h
+++ b/serving/test/simulated_fleet.h
@@ -1,5 +1,5 @@
-#ifndef SCALESHED_SERVING_TEST_HALL_H_
-#define SCALESHED_SERVING_TEST_HALL_H_
+#ifndef SCALESHED_SERVING_TEST_SIMULATED_FLEET_H_
+#define SCALESHED_SERVING_TEST_SIMULATED_FLEET_H_
 
 #include <map>
 #include <memory>
@@ -16,29 +16,33 @@
 
 namespace scaleshed::serving::test {
 
-struct HallOptions {
+struct SimulatedFleetOptions {
   int daemons = 32;
   int data_centres = 4;
   int engines = 24;
-  int strong = 1;      // machines of each data centre with more capacity
-  bool slack = false;  // daemons hold their parts of the slack of repeats
-  int plain = 0;       // servers of a plain service
-  double loss = 0;     // of the messages between daemons
-  double resets = 0;   // of the streams break off after their first event
+  int strong_per_data_centre =
+      1;  // machines of each data centre with more capacity
+  bool hold_slack_share =
+      false;              // daemons hold their parts of the slack of repeats
+  int plain_servers = 0;  // servers of a plain service
+  double message_loss_share = 0;  // of the messages between daemons
+  double stream_reset_share =
+      0;  // of the streams break off after their first event
 };
 
 // Many daemons under one scripted clock, which send each other messages that
 // take a millisecond, before a store that answers at once, engines that give a
 // first event after 100 ms and end after 400 ms, and plain servers that answer
 // after 60 ms. Counts what is sent.
-class Hall {
+class SimulatedFleet {
  public:
-  explicit Hall(const HallOptions& options) : options_(options) {
+  explicit SimulatedFleet(const SimulatedFleetOptions& options)
+      : options_(options) {
     for (int i = 0; i < options.daemons; ++i) {
       AddDaemon(i);
       Feed(i, Peers());
     }
-    Pass(seconds(4));
+    AdvanceTime(seconds(4));
   }
 
   static std::string PeerOf(int i) { return "p" + std::to_string(i); }
@@ -52,39 +56,42 @@
     return placers.empty() ? -1 : IndexOf(placers.front());
   }
   // It does nothing from now on, and says nothing.
-  void Freeze(int i, bool frozen = true) {
+  void FreezeDaemon(int i, bool frozen = true) {
     nodes_.at(static_cast<std::size_t>(i)).frozen = frozen;
     ledger_.Excuse(PeerOf(i));
   }
 
   // That engine takes requests and says nothing more.
-  void Hang(const std::string& engine, bool hangs = true) {
+  void HangEngine(const std::string& engine, bool hangs = true) {
     hangs ? (void)hanging_.insert(engine) : (void)hanging_.erase(engine);
   }
 
   // That server names a limit in its answers from now on, or none.
-  void NameLimit(const std::string& server, std::optional<double> per_second) {
+  void SetRateLimit(const std::string& server,
+                    std::optional<double> per_second) {
     engines_.at(server).limit = per_second;
     ledger_.NameLimit(now_, server, per_second);
   }
   // It says in its answers from now on that it leaves.
-  void Leave(const std::string& server) { engines_.at(server).leaving = true; }
+  void SetLeaving(const std::string& server) {
+    engines_.at(server).leaving = true;
+  }
   // It turns all requests away and asks for that rest each time, or no longer.
-  void AskRest(const std::string& server, Duration rest) {
+  void SetBackoff(const std::string& server, Duration rest) {
     engines_.at(server).rest = rest;
   }
   const testing::ServerLedger& ledger() const { return ledger_; }
   // No message of another daemon reaches it, and none of its reaches any.
-  void Isolate(int i, bool isolated) {
+  void IsolateDaemon(int i, bool isolated) {
     nodes_.at(static_cast<std::size_t>(i)).isolated = isolated;
     if (isolated) ledger_.Excuse(PeerOf(i));
   }
 
   // Its process is killed and starts anew, with what the store holds.
-  void Restart(int i) {
+  void RestartDaemon(int i) {
     ledger_.Excuse(PeerOf(i));
     Node& node = nodes_.at(static_cast<std::size_t>(i));
-    const std::uint64_t life = node.state->options.life + 1;
+    const std::uint64_t life = node.state->options.incarnation + 1;
     node.state = NewState(i, life);
     std::erase_if(messages_underway_,
                   [&](const auto& it) { return it.second.to == i; });
@@ -96,35 +103,36 @@
     Feed(i, Peers());
   }
   // Writes are refused, and nobody is told of any, as long as it is.
-  void CutStore(bool cut) { store_cut_ = cut; }
-  const std::map<std::uint64_t, StoredEndings>& stored() const {
+  void SetStoreUnreachable(bool cut) { store_cut_ = cut; }
+  const std::map<std::uint64_t, StoredCrashes>& stored() const {
     return stored_;
   }
   std::size_t saves() const { return saves_; }
 
   // Each engine that runs that content ends kDeathAfter later, and another life
   // begins at its address kDownFor after that.
-  void MakeDeadly(std::uint64_t content) { deadly_.insert(content); }
+  void MakeCrashing(std::uint64_t content) { deadly_.insert(content); }
   // When engines ended, and when the content was sent, in this order.
-  const std::vector<Time>& ends() const { return ends_; }
-  const std::vector<Time>& deadly_sends() const { return deadly_sends_; }
+  const std::vector<Time>& crash_times() const { return ends_; }
+  const std::vector<Time>& crashing_send_times() const { return deadly_sends_; }
   Time now() const { return now_; }
 
   // A prompt comes to that daemon.
-  RequestKey Ask(int daemon, std::int64_t prompt,
-                 Duration deadline = seconds(15), std::uint64_t content = 0) {
+  RequestKey SendPrompt(int daemon, std::int64_t prompt,
+                        Duration deadline = seconds(15),
+                        std::uint64_t content = 0) {
     return Arrive(daemon, {.path = "/stream/x",
                            .deadline = deadline,
                            .prompt_tokens = prompt,
                            .answer_tokens = 500,
-                           .content = content});
+                           .fingerprint = content});
   }
   // A call of the plain service.
-  RequestKey AskPlain(int daemon, Duration deadline = seconds(4)) {
+  RequestKey SendPlainRequest(int daemon, Duration deadline = seconds(4)) {
     return Arrive(daemon, {.path = "/safe/x", .deadline = deadline});
   }
 
-  void Pass(Duration time) {
+  void AdvanceTime(Duration time) {
     const Time until = now_ + time;
     while (now_ < until) {
       now_ += milliseconds(1);
@@ -154,12 +162,12 @@
   // Whole answers.
   const std::set<RequestKey>& answered() const { return answered_; }
   // Log lines of that name so far.
-  std::size_t lines(const std::string& what) const {
+  std::size_t log_line_count(const std::string& what) const {
     const auto it = lines_.find(what);
     return it == lines_.end() ? 0 : it->second;
   }
   std::size_t messages() const { return messages_; }
-  std::size_t told_to(int i) const {
+  std::size_t messages_to(int i) const {
     return nodes_.at(static_cast<std::size_t>(i)).heard;
   }
 
@@ -211,17 +219,18 @@
   }
 
   std::unique_ptr<State> NewState(int i, std::uint64_t life) const {
-    const bool strong = i / options_.data_centres < options_.strong;
+    const bool strong =
+        i / options_.data_centres < options_.strong_per_data_centre;
     auto state = std::make_unique<State>(
         ServingOptions{.instance = "f" + std::to_string(i),
                        .peer_address = PeerOf(i),
                        .data_centre = CentreOf(i),
-                       .life = life,
+                       .incarnation = life,
                        .seed = static_cast<std::uint64_t>(i) + life,
                        .capacity = strong ? 4.0 : 1.0,
-                       .news_within = seconds(3),
-                       .repeats = {.slack = 1000}});
-    if (options_.slack) HoldSlack(state->slack);
+                       .propagation_limit = seconds(3),
+                       .retry_budget = {.slack = 1000}});
+    if (options_.hold_slack_share) HoldSlack(state->slack_share);
     return state;
   }
 
@@ -236,7 +245,7 @@
       const std::string id = "llm" + std::to_string(k);
       engines_[id] = {.address = id, .data_centre = CentreOf(k)};
     }
-    for (int k = 0; k < options_.plain; ++k) {
+    for (int k = 0; k < options_.plain_servers; ++k) {
       const std::string id = "app" + std::to_string(k);
       engines_[id] = {
           .service = "app", .address = id, .data_centre = CentreOf(k)};
@@ -245,10 +254,10 @@
 
   // All that the store holds.
   void TellAll(int i) {
-    Feed(i, ConfigurationSeen{.configuration = MakeConfiguration(1),
-                              .asked = now_});
+    Feed(i, ConfigurationReceived{.configuration = MakeConfiguration(1),
+                                  .queried_at = now_});
     Feed(i, ListedEndings());
-    BackendsListed all{.revision = {.number = revision_}, .asked = now_};
+    BackendsListed all{.revision = {.number = revision_}, .queried_at = now_};
     for (const auto& [id, engine] : engines_) {
       all.backends.push_back({.id = id,
                               .service = engine.service,
@@ -260,42 +269,42 @@
     Feed(i, all);
   }
 
-  AllEndingsListed ListedEndings() const {
-    AllEndingsListed all{.endings = {}, .revision = {.number = revision_}};
-    all.endings.reserve(stored_.size());
-    for (const auto& [content, it] : stored_) all.endings.push_back(it);
+  AllCrashesListed ListedEndings() const {
+    AllCrashesListed all{.crashes = {}, .revision = {.number = revision_}};
+    all.crashes.reserve(stored_.size());
+    for (const auto& [content, it] : stored_) all.crashes.push_back(it);
     return all;
   }
 
   // As the store does it: all or none, and those who watch are told.
-  void Save(int from, const SaveEndings& save) {
+  void Save(int from, const SaveCrashes& save) {
     ++saves_;
     const bool holds = std::all_of(
-        save.endings.begin(), save.endings.end(), [&](const auto& it) {
-          const auto found = stored_.find(it.content);
+        save.crashes.begin(), save.crashes.end(), [&](const auto& it) {
+          const auto found = stored_.find(it.fingerprint);
           return it.revision == (found == stored_.end()
                                      ? StoreRevision{}
                                      : found->second.revision);
         });
     if (!store_cut_ && holds) {
-      for (StoredEndings it : save.endings) {
+      for (StoredCrashes it : save.crashes) {
         it.revision.number = ++revision_;
-        stored_[it.content] = it;
-        if (it.lives.empty()) stored_.erase(it.content);
+        stored_[it.fingerprint] = it;
+        if (it.incarnations.empty()) stored_.erase(it.fingerprint);
         TellWatchers(it);
       }
     }
-    After(milliseconds(5), from, EndingsSaved{});
+    After(milliseconds(5), from, SaveCrashesFinished{});
     // A list where it conflicts, or where no watch tells what was written.
     if (!holds || !state(from).store.watching) {
       if (!store_cut_) After(milliseconds(10), from, ListedEndings());
     }
   }
 
-  void TellWatchers(const StoredEndings& stored) {
+  void TellWatchers(const StoredCrashes& stored) {
     for (int i = 0; i < options_.daemons; ++i) {
       if (!state(i).store.watching) continue;
-      After(milliseconds(5), i, EndingsStored{stored});
+      After(milliseconds(5), i, CrashesStored{stored});
     }
   }
 
@@ -366,10 +375,10 @@
       engine.dies = std::min(engine.dies, now_ + kDeathAfter);
       return;
     }
-    const AnswerBegun begun{.attempt = start.attempt,
-                            .word = {.limit = engine.limit,
-                                     .leaving = engine.leaving,
-                                     .rest = engine.rest}};
+    const ResponseHeadReceived begun{.attempt = start.attempt,
+                                     .signals = {.rate_limit = engine.limit,
+                                                 .leaving = engine.leaving,
+                                                 .backoff = engine.rest}};
     if (engine.rest > Duration::zero()) {
       After(milliseconds(1), daemon, begun, start.instance);
       After(milliseconds(1), daemon,
@@ -397,8 +406,9 @@
 
   void ProveAll() {
     for (int i = 0; i < options_.daemons; ++i) {
-      Feed(i, ConfigurationConfirmed{.revision = {.number = 1}, .asked = now_});
-      Feed(i, BackendsConfirmed{.asked = now_});
+      Feed(i, ConfigurationConfirmed{.revision = {.number = 1},
+                                     .queried_at = now_});
+      Feed(i, BackendsConfirmed{.queried_at = now_});
     }
   }
 
@@ -415,11 +425,11 @@
       for (const auto& to : it->to) {
         SendTo(from, IndexOf(to), SnapshotReceived{it->snapshot});
       }
-    } else if (const auto* it = std::get_if<AskPlacer>(&effect)) {
-      SendTo(from, IndexOf(it->to), PlaceQuestionReceived{it->question});
-    } else if (const auto* it = std::get_if<AnswerPlace>(&effect)) {
-      SendTo(from, IndexOf(it->to), PlaceAnswerReceived{it->answer});
-    } else if (const auto* it = std::get_if<RelayStore>(&effect)) {
+    } else if (const auto* it = std::get_if<RequestPlacement>(&effect)) {
+      SendTo(from, IndexOf(it->to), PlacementRequestReceived{it->request});
+    } else if (const auto* it = std::get_if<RespondToPlacement>(&effect)) {
+      SendTo(from, IndexOf(it->to), PlacementResponseReceived{it->response});
+    } else if (const auto* it = std::get_if<RelayStoreState>(&effect)) {
       for (const auto& [to, relay] : it->messages) {
         SendTo(from, IndexOf(to), StoreRelayReceived{relay});
       }
@@ -429,23 +439,24 @@
       answered_.insert(it->key);
     } else if (const auto* it = std::get_if<DeliverAnswer>(&effect)) {
       answered_.insert(it->key);
-    } else if (const auto* it = std::get_if<SaveEndings>(&effect)) {
+    } else if (const auto* it = std::get_if<SaveCrashes>(&effect)) {
       Save(from, *it);
-    } else if (const auto* it = std::get_if<AskLife>(&effect)) {
+    } else if (const auto* it = std::get_if<ProbeLiveness>(&effect)) {
       bool listens = false;
       for (const auto& [id, engine] : engines_) {
         listens = listens || (engine.address == it->address && !IsDown(id));
       }
-      After(
-          milliseconds(2), from,
-          LifeSeen{.backend = it->backend,
-                   .sign = listens ? LifeSign::kAnswered : LifeSign::kRefused});
+      After(milliseconds(2), from,
+            LivenessProbed{.backend = it->backend,
+                           .result = listens ? ProbeResult::kAlive
+                                             : ProbeResult::kRefused});
     } else if (const auto* it = std::get_if<ReserveMemory>(&effect)) {
       After(milliseconds(1), from,
-            MemoryAnswered{
-                .attempt = it->attempt, .index = it->index, .granted = true});
+            MemoryReservationAnswered{.attempt = it->attempt,
+                                      .helper_index = it->helper_index,
+                                      .granted = true});
     } else if (const auto* it = std::get_if<LogDecision>(&effect)) {
-      ++lines_[it->what];
+      ++lines_[it->event];
     } else if (const auto* it = std::get_if<Refuse>(&effect)) {
       ++refusals_[it->key];
       refused_.push_back({.refusal = *it, .after = now_ - arrived_[it->key]});
@@ -461,17 +472,17 @@
     constexpr std::uint64_t kParts = 1000;
     const std::uint64_t draw =
         HashBytes(std::to_string(key), helpers_.at(key).size()) % kParts;
-    return static_cast<double>(draw) < options_.resets * kParts;
+    return static_cast<double>(draw) < options_.stream_reset_share * kParts;
   }
 
-  RequestKey Arrive(int daemon, RequestFacts facts) {
+  RequestKey Arrive(int daemon, RequestMetadata facts) {
     const RequestKey key = ++last_key_;
     facts.id = "r" + std::to_string(key);
     facts.host = "h";
     facts.keys = {"k"};
     arrived_[key] = now_;
-    contents_[key] = facts.content;
-    Feed(daemon, RequestArrived{.key = key, .facts = std::move(facts)});
+    contents_[key] = facts.fingerprint;
+    Feed(daemon, RequestArrived{.key = key, .metadata = std::move(facts)});
     return key;
   }
 
@@ -480,7 +491,7 @@
       return nodes_.at(static_cast<std::size_t>(i)).isolated;
     };
     if (isolated(from) || isolated(to)) return;
-    if (Drawn(options_.loss)) return;
+    if (Drawn(options_.message_loss_share)) return;
     ++messages_;
     ++nodes_.at(static_cast<std::size_t>(to)).heard;
     After(milliseconds(1), to, std::move(body));
@@ -498,28 +509,28 @@
            messages_underway_.begin()->first <= now_) {
       Message message = std::move(messages_underway_.begin()->second);
       messages_underway_.erase(messages_underway_.begin());
-      const auto* it = std::get_if<AnswerBegun>(&message.body);
+      const auto* it = std::get_if<ResponseHeadReceived>(&message.body);
       // The daemon may have given the attempt up, and then hears nothing of it.
       if (it != nullptr && state(message.to).attempts.contains(it->attempt)) {
-        NoteWord(message, it->word);
+        NoteWord(message, it->signals);
       }
       Feed(message.to, std::move(message.body));
     }
   }
 
-  void NoteWord(const Message& message, const ServerWord& word) {
+  void NoteWord(const Message& message, const ServerSignals& word) {
     const std::string daemon = PeerOf(message.to);
-    if (word.limit) ledger_.ToldLimit(now_, message.server, daemon);
+    if (word.rate_limit) ledger_.ToldLimit(now_, message.server, daemon);
     if (word.leaving) ledger_.ToldLeaving(now_, message.server, daemon);
-    if (word.rest > Duration::zero()) {
-      ledger_.AskRest(now_, message.server, daemon, word.rest);
+    if (word.backoff > Duration::zero()) {
+      ledger_.AskRest(now_, message.server, daemon, word.backoff);
     }
   }
 
-  HallOptions options_;
+  SimulatedFleetOptions options_;
   std::map<std::string, Engine> engines_;  // by instance id
   std::uint64_t revision_ = 1;
-  std::map<std::uint64_t, StoredEndings> stored_;
+  std::map<std::uint64_t, StoredCrashes> stored_;
   bool store_cut_ = false;
   std::size_t saves_ = 0;
   std::set<std::uint64_t> deadly_;
@@ -546,4 +557,4 @@
 
 }  // namespace scaleshed::serving::test
 
-#endif  // SCALESHED_SERVING_TEST_HALL_H_
+#endif  // SCALESHED_SERVING_TEST_SIMULATED_FLEET_H_
--- a/serving/test/hall_load.h
+++ b/serving/test/simulated_fleet_load.h
@@ -1,12 +1,12 @@
-#ifndef SCALESHED_SERVING_TEST_HALL_LOAD_H_
-#define SCALESHED_SERVING_TEST_HALL_LOAD_H_
+#ifndef SCALESHED_SERVING_TEST_SIMULATED_FLEET_LOAD_H_
+#define SCALESHED_SERVING_TEST_SIMULATED_FLEET_LOAD_H_
 
 #include <catch2/catch.hpp>
 #include <functional>
 #include <random>
 #include <vector>
 
-#include "hall.h"
+#include "simulated_fleet.h"
 
 // Load for a Hall, and what has to hold whatever its servers say.
 namespace scaleshed::serving::test {
@@ -18,14 +18,14 @@
   Duration deadline = seconds(10);
 };
 
-struct Outcome {
-  std::size_t asked = 0;
-  std::size_t served = 0;
+struct LoadResult {
+  std::size_t sent = 0;
+  std::size_t answered = 0;
 };
 
 // Requests come at drawn daemons. `at` is called at each step.
-inline Outcome Play(
-    Hall& hall, int daemons, const Load& load,
+inline LoadResult RunLoad(
+    SimulatedFleet& hall, int daemons, const Load& load,
     const std::function<void()>& at = [] {}) {
   std::mt19937_64 random(7);
   const auto any = [&] {
@@ -38,36 +38,36 @@
   double calls = 0;
   for (Duration gone{}; gone < load.length; gone += kStep) {
     for (prompts += load.prompts * step; prompts >= 1; --prompts) {
-      asked.push_back(hall.Ask(any(), 3000, load.deadline));
+      asked.push_back(hall.SendPrompt(any(), 3000, load.deadline));
     }
     for (calls += load.calls * step; calls >= 1; --calls) {
-      asked.push_back(hall.AskPlain(any()));
+      asked.push_back(hall.SendPlainRequest(any()));
     }
     at();
-    hall.Pass(kStep);
+    hall.AdvanceTime(kStep);
   }
-  Outcome outcome{.asked = asked.size()};
-  hall.Pass(seconds(3));
+  LoadResult outcome{.sent = asked.size()};
+  hall.AdvanceTime(seconds(3));
   for (const RequestKey it : asked) {
-    if (hall.answered().contains(it)) ++outcome.served;
+    if (hall.answered().contains(it)) ++outcome.answered;
   }
   return outcome;
 }
 
-inline void CheckHeld(const Hall& hall) {
+inline void CheckServerLimitsHeld(const SimulatedFleet& hall) {
   for (const auto& it : hall.ledger().WorstLimitWindows()) {
     UNSCOPED_INFO(it.server << ": " << it.requests << " of " << it.allowed);
   }
   for (const std::string& it : hall.ledger().Broken()) FAIL_CHECK(it);
 }
 
-inline constexpr HallOptions kFew{
-    .daemons = 8, .data_centres = 3, .engines = 18, .plain = 3};
-inline constexpr HallOptions kMany{
-    .daemons = 40, .data_centres = 4, .engines = 32, .plain = 4};
-inline constexpr HallOptions kCrowd{
-    .daemons = 160, .data_centres = 4, .engines = 60, .plain = 6};
+inline constexpr SimulatedFleetOptions kSmallFleet{
+    .daemons = 8, .data_centres = 3, .engines = 18, .plain_servers = 3};
+inline constexpr SimulatedFleetOptions kMediumFleet{
+    .daemons = 40, .data_centres = 4, .engines = 32, .plain_servers = 4};
+inline constexpr SimulatedFleetOptions kLargeFleet{
+    .daemons = 160, .data_centres = 4, .engines = 60, .plain_servers = 6};
 
 }  // namespace scaleshed::serving::test
 
-#endif  // SCALESHED_SERVING_TEST_HALL_LOAD_H_
+#endif  // SCALESHED_SERVING_TEST_SIMULATED_FLEET_LOAD_H_
--- a/serving/test/slack_share_test.cc
+++ b/serving/test/slack_share_test.cc
@@ -24,41 +24,41 @@
 // With its part from `since` on, if the store goes on holding its entry.
 SlackShare Holder(Time since, std::size_t daemons) {
   SlackShare share(kWindow);
-  share.EntryHeld(since, since + kTtl, true);
-  share.DaemonsCounted(since);
-  share.NoteDaemons(since, daemons);
+  share.OnEntryConfirmed(since, since + kTtl, true);
+  share.OnDaemonsCounted(since);
+  share.RecordDaemonCount(since, daemons);
   return share;
 }
 
 // The store renewed the entry and was counted.
 void Renew(SlackShare& share, Time now, std::size_t daemons) {
-  share.EntryHeld(now, now + kTtl, false);
-  share.DaemonsCounted(now);
-  share.NoteDaemons(now, daemons);
+  share.OnEntryConfirmed(now, now + kTtl, false);
+  share.OnDaemonsCounted(now);
+  share.RecordDaemonCount(now, daemons);
 }
 
 TEST_CASE(
     "A new entry has no part for a window and as long as counts are old") {
   SlackShare share = Holder(kStart, 8);
   Renew(share, kStart + seconds(16), 8);
-  CHECK(share.StateAt(kStart + seconds(16)) == ShareState::kYoung);
-  CHECK(share.PartAt(kStart + seconds(16)) == 0);
+  CHECK(share.StateAt(kStart + seconds(16)) == ShareState::kTooRecent);
+  CHECK(share.FractionAt(kStart + seconds(16)) == 0);
   CHECK(share.StateAt(kStart + seconds(17)) == ShareState::kHeld);
-  CHECK(share.PartAt(kStart + seconds(17)) == Approx(1.0 / 8));
+  CHECK(share.FractionAt(kStart + seconds(17)) == Approx(1.0 / 8));
 }
 
 TEST_CASE("A part ends with the entry, or with its count") {
   SlackShare share = Holder(kStart, 8);
   Renew(share, kStart + seconds(18), 8);
   CHECK(share.StateAt(kStart + seconds(25)) == ShareState::kHeld);
-  CHECK(share.StateAt(kStart + seconds(26)) == ShareState::kCountOld);
-  share.DaemonsCounted(kStart + seconds(36));
+  CHECK(share.StateAt(kStart + seconds(26)) == ShareState::kCountStale);
+  share.OnDaemonsCounted(kStart + seconds(36));
   CHECK(share.StateAt(kStart + seconds(37)) == ShareState::kHeld);
   CHECK(share.StateAt(kStart + seconds(38)) == ShareState::kNoEntry);
   Renew(share, kStart + seconds(39), 8);
-  CHECK(share.PartAt(kStart + seconds(39)) > 0);
-  share.EntryEnded();
-  CHECK(share.PartAt(kStart + seconds(39)) == 0);
+  CHECK(share.FractionAt(kStart + seconds(39)) > 0);
+  share.OnEntryRemoved();
+  CHECK(share.FractionAt(kStart + seconds(39)) == 0);
 }
 
 TEST_CASE("The parts of others are taken once they are out of the window") {
@@ -105,7 +105,7 @@
     Time due{};        // of its next call to the store, or of its start
     bool cut = false;  // from the store
     SlackShare share{kWindow};
-    RepeatBudget budget{{.ratio = 0, .slack = kSlack, .window = kWindow}};
+    RetryBudget budget{{.ratio = 0, .slack = kSlack, .window = kWindow}};
     bool stands = false;
   };
 
@@ -121,11 +121,12 @@
     if (now_ >= it.due && !it.cut) CallStore(i);
     if (!it.lives) return;
     // Some hear all others, some nobody.
-    it.share.NoteDaemons(now_, Draw(1) == 0 ? 1 : it.stands ? known_ : 1);
+    it.share.RecordDaemonCount(now_, Draw(1) == 0 ? 1 : it.stands ? known_ : 1);
     const bool told = !it.cut && Draw(4) == 0;
     if (told) TellCount(it);
-    const double part = it.share.PartAt(now_);
-    while (it.budget.Plan(now_, part) && it.budget.Send(now_, part)) {
+    const double part = it.share.FractionAt(now_);
+    while (it.budget.ReserveRetry(now_, part) &&
+           it.budget.CommitRetry(now_, part)) {
       sent_.push_back(now_);
     }
   }
@@ -136,7 +137,7 @@
     it.due = now_ + seconds(6);
     const bool there = entries_.contains(i);
     entries_[i] = now_ + kTtl;
-    it.share.EntryHeld(now_, now_ + kTtl, !it.stands || !there);
+    it.share.OnEntryConfirmed(now_, now_ + kTtl, !it.stands || !there);
     it.stands = true;
   }
 
@@ -145,8 +146,8 @@
     const std::size_t back = std::min(Draw(34), counts_.size());
     if (back == 0) return;
     known_ = counts_[counts_.size() - back];
-    daemon.share.DaemonsCounted(now_ - kStep * back);
-    daemon.share.NoteDaemons(now_, known_);
+    daemon.share.OnDaemonsCounted(now_ - kStep * back);
+    daemon.share.RecordDaemonCount(now_, known_);
   }
 
   void Trouble() {
--- a/serving/test/snapshots_test.cc
+++ b/serving/test/snapshots_test.cc
@@ -16,7 +16,8 @@
 std::set<std::uint64_t> WorkIds(const Daemon& daemon) {
   std::set<std::uint64_t> ids;
   const auto& member = daemon.state().members.at("2.2.2.2:2");
-  for (const Work& it : member.snapshot.works) ids.insert(it.id);
+  for (const ActiveRequest& it : member.snapshot.active_requests)
+    ids.insert(it.id);
   return ids;
 }
 
@@ -24,7 +25,7 @@
   std::vector<LoadSnapshot> told;
   for (const Effect& it : effects) {
     const auto* published = std::get_if<PublishSnapshot>(&it);
-    if (published != nullptr && published->snapshot.partial == partial) {
+    if (published != nullptr && published->snapshot.incremental == partial) {
       told.push_back(published->snapshot);
     }
   }
@@ -34,22 +35,22 @@
 TEST_CASE("A change is told alone, at once") {
   Daemon daemon;
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
-  daemon.Ask("once");
+  daemon.SendRequest("once");
   const auto begun = Told(daemon.effects(), /*partial=*/true);
   REQUIRE(begun.size() == 1);
-  REQUIRE(begun[0].works.size() == 1);
-  CHECK(begun[0].ended.empty());
-  const std::uint64_t first = begun[0].works[0].id;
-  daemon.Ask("once");
+  REQUIRE(begun[0].active_requests.size() == 1);
+  CHECK(begun[0].finished_ids.empty());
+  const std::uint64_t first = begun[0].active_requests[0].id;
+  daemon.SendRequest("once");
   const auto second = Told(daemon.effects(), /*partial=*/true);
   REQUIRE(second.size() == 1);
-  REQUIRE(second[0].works.size() == 1);
-  CHECK(second[0].works[0].id != first);
-  daemon.Feed(ClientGone{.key = first});
+  REQUIRE(second[0].active_requests.size() == 1);
+  CHECK(second[0].active_requests[0].id != first);
+  daemon.Feed(ClientDisconnected{.key = first});
   const auto ended = Told(daemon.effects(), /*partial=*/true);
   REQUIRE(ended.size() == 1);
-  CHECK(ended[0].works.empty());
-  CHECK(ended[0].ended == std::vector<std::uint64_t>{first});
+  CHECK(ended[0].active_requests.empty());
+  CHECK(ended[0].finished_ids == std::vector<std::uint64_t>{first});
 }
 
 // Of 295 daemons with small links each told all others a hundred times a second
@@ -60,15 +61,16 @@
   // The engines are busy with a prompt of another daemon.
   LoadSnapshot busy = PeerSnapshot(2);
   for (std::uint64_t i = 0; i < 6; ++i) {
-    busy.works.push_back({.id = i,
-                          .backend = HashBytes("llm" + std::to_string(i)),
-                          .prompt_tokens = 400'000,
-                          .answer_tokens = 500,
-                          .started = daemon.now()});
+    busy.active_requests.push_back(
+        {.id = i,
+         .backend = HashBytes("llm" + std::to_string(i)),
+         .prompt_tokens = 400'000,
+         .answer_tokens = 500,
+         .started_at = daemon.now()});
   }
   daemon.Feed(SnapshotReceived{busy});
-  daemon.Ask("stream", 300'000);
-  daemon.Pass(milliseconds(1000));
+  daemon.SendRequest("stream", 300'000);
+  daemon.AdvanceTime(milliseconds(1000));
   REQUIRE(daemon.state().requests.size() == 1);
   CHECK(daemon.state().requests.begin()->second.phase == Phase::kWaiting);
   // Ten heartbeats, by which the others order theirs.
@@ -82,22 +84,23 @@
   // Each engine has twice as many as it writes for at a time.
   LoadSnapshot busy = PeerSnapshot(1);
   for (std::uint64_t i = 0; i < 6 * 32; ++i) {
-    busy.works.push_back({.id = i,
-                          .backend = HashBytes("llm" + std::to_string(i % 6)),
-                          .prompt_tokens = 2000,
-                          .answer_tokens = 500,
-                          .started = daemon.now(),
-                          .writing = true});
+    busy.active_requests.push_back(
+        {.id = i,
+         .backend = HashBytes("llm" + std::to_string(i % 6)),
+         .prompt_tokens = 2000,
+         .answer_tokens = 500,
+         .started_at = daemon.now(),
+         .decoding = true});
   }
   daemon.Feed(SnapshotReceived{busy});
-  daemon.Ask("stream", 2000, milliseconds(500));
+  daemon.SendRequest("stream", 2000, milliseconds(500));
   REQUIRE(daemon.state().requests.size() == 1);
   CHECK(daemon.state().requests.begin()->second.phase == Phase::kWaiting);
   // Nothing is looked at until its time is over.
   daemon.SetNow(daemon.now() + milliseconds(501));
   daemon.Feed(SnapshotReceived{PeerSnapshot(2)});
-  CHECK(daemon.First<StartAttempt>() == nullptr);
-  const auto* refused = daemon.First<Refuse>();
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
+  const auto* refused = daemon.FirstEffect<Refuse>();
   REQUIRE(refused != nullptr);
   CHECK(refused->status == 503);
 }
@@ -105,33 +108,33 @@
 TEST_CASE("Each daemon gets whole snapshots in turn") {
   Daemon daemon;
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
-  daemon.Ask("once");
-  daemon.Pass(milliseconds(1900));
+  daemon.SendRequest("once");
+  daemon.AdvanceTime(milliseconds(1900));
   const auto whole = Told(daemon.effects(), /*partial=*/false);
   CHECK(whole.size() >= 2);
-  for (const LoadSnapshot& it : whole) CHECK(it.works.size() == 1);
+  for (const LoadSnapshot& it : whole) CHECK(it.active_requests.size() == 1);
 }
 
 TEST_CASE("Parts change what a whole snapshot told; the next whole one rules") {
   Daemon daemon;
   LoadSnapshot whole = PeerSnapshot(1);
   whole.data_centre = "z";
-  whole.works = {{.id = 1}, {.id = 2}};
+  whole.active_requests = {{.id = 1}, {.id = 2}};
   daemon.Feed(SnapshotReceived{whole});
   LoadSnapshot part = PeerSnapshot(2);
   part.instance.clear();
-  part.partial = true;
-  part.works = {{.id = 2, .writing = true}, {.id = 3}};
-  part.ended = {1};
+  part.incremental = true;
+  part.active_requests = {{.id = 2, .decoding = true}, {.id = 3}};
+  part.finished_ids = {1};
   daemon.Feed(SnapshotReceived{part});
   CHECK(WorkIds(daemon) == std::set<std::uint64_t>{2, 3});
   const LoadSnapshot& known = daemon.state().members.at("2.2.2.2:2").snapshot;
-  CHECK(known.works.size() == 2);
+  CHECK(known.active_requests.size() == 2);
   CHECK(known.instance == "2.2.2.2:1");
   CHECK(known.data_centre == "z");
   // Of a lost part nothing stays wrong.
   whole.sequence = 9;
-  whole.works = {{.id = 7}};
+  whole.active_requests = {{.id = 7}};
   daemon.Feed(SnapshotReceived{whole});
   CHECK(WorkIds(daemon) == std::set<std::uint64_t>{7});
   // Nor does a late one change anything.
@@ -142,12 +145,12 @@
 TEST_CASE("A part of an unknown daemon or life says nothing") {
   Daemon daemon;
   LoadSnapshot part = PeerSnapshot(2);
-  part.partial = true;
+  part.incremental = true;
   daemon.Feed(SnapshotReceived{part});
   CHECK(daemon.state().members.empty());
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
-  part.life = 2;
-  part.works = {{.id = 5}};
+  part.incarnation = 2;
+  part.active_requests = {{.id = 5}};
   daemon.Feed(SnapshotReceived{part});
   CHECK(WorkIds(daemon).empty());
 }
--- a/serving/test/store_eras_test.cc
+++ b/serving/test/store_eras_test.cc
@@ -15,7 +15,7 @@
 Configuration Stored(std::int64_t version, std::uint64_t number) {
   Configuration configuration = MakeConfiguration(0);
   configuration.version = version;
-  configuration.revision = {.era = kEra, .number = number};
+  configuration.revision = {.epoch = kEra, .number = number};
   return configuration;
 }
 
@@ -23,35 +23,35 @@
 class Starter {
  public:
   Starter() {
-    Feed(StoreEraSeen{.era = kEra});
+    Feed(StoreEpochObserved{.epoch = kEra});
     Read(Stored(3, 7));
   }
   // What the store's first list tells.
   void List(std::uint64_t settled_era) {
-    if (settled_era != 0) Feed(SettledEraSeen{.era = settled_era});
+    if (settled_era != 0) Feed(ReconciledEpochObserved{.epoch = settled_era});
     Feed(PeersListed{});
   }
   void Read(const Configuration& stored) {
-    Feed(ConfigurationSeen{.configuration = stored, .asked = now_});
+    Feed(ConfigurationReceived{.configuration = stored, .queried_at = now_});
   }
   // The store is asked each 100 ms.
   void Pass(Duration time) {
     for (const Time until = now_ + time; now_ < until;) {
       now_ += milliseconds(100);
       Feed(ConfigurationConfirmed{.revision = StampOf().revision,
-                                  .asked = now_});
+                                  .queried_at = now_});
       Feed(Tick{});
     }
   }
   bool is_proved() const { return state_.confirmed_at != Time{}; }
-  std::uint64_t era() const { return state_.store.era.number; }
+  std::uint64_t era() const { return state_.store.epoch.number; }
   int notes() const { return notes_; }
   void Feed(EventBody body) {
     const Effects effects =
         Reduce(state_, {.now = now_, .body = std::move(body)});
     for (const Effect& it : effects) {
-      const auto* note = std::get_if<WriteSettledEra>(&it);
-      if (note != nullptr && note->era == kEra) ++notes_;
+      const auto* note = std::get_if<WriteReconciledEpoch>(&it);
+      if (note != nullptr && note->epoch == kEra) ++notes_;
     }
   }
 
@@ -88,10 +88,10 @@
   Starter starter;
   starter.List(kEra);
   starter.Pass(milliseconds(1100));
-  const std::uint64_t told = kEra + kMostRestoresAtOnce + 1;
-  starter.Feed(StoreRelayReceived{{.peer_address = "a:1", .era = told}});
+  const std::uint64_t told = kEra + kMaxEpochAdvance + 1;
+  starter.Feed(StoreRelayReceived{{.peer_address = "a:1", .epoch = told}});
   CHECK(starter.era() == kEra);
-  starter.Feed(StoreRelayReceived{{.peer_address = "a:1", .era = told - 1}});
+  starter.Feed(StoreRelayReceived{{.peer_address = "a:1", .epoch = told - 1}});
   CHECK(starter.era() == told - 1);
 }
 
@@ -120,12 +120,12 @@
   CHECK(starter.notes() == 1);
   starter.Pass(seconds(5));
   CHECK(starter.notes() > 1);
-  starter.Feed(SettledEraSeen{.era = kEra});
+  starter.Feed(ReconciledEpochObserved{.epoch = kEra});
   const int before = starter.notes();
   starter.Pass(seconds(10));
   CHECK(starter.notes() == before);
   // Another call that was late took it back.
-  starter.Feed(SettledEraSeen{.era = kEra - 1});
+  starter.Feed(ReconciledEpochObserved{.epoch = kEra - 1});
   starter.Pass(seconds(1));
   CHECK(starter.notes() == before + 1);
 }
--- a/serving/test/store_following_test.cc
+++ b/serving/test/store_following_test.cc
@@ -16,10 +16,10 @@
 LoadSnapshot PeerSnapshot(const std::string& address, std::uint64_t sequence) {
   return {.instance = address,
           .peer_address = address,
-          .life = 1,
+          .incarnation = 1,
           .sequence = sequence,
           .serving = true,
-          .asks_store = true};
+          .polls_store = true};
 }
 
 // Two addresses that rank before `own` where askers are chosen.
@@ -41,7 +41,7 @@
  public:
   Listener() : peers_(AskersBefore(daemon_.state().options.peer_address)) {
     Hear();
-    daemon_.Pass(milliseconds(1000));
+    daemon_.AdvanceTime(milliseconds(1000));
     Hear();
   }
 
@@ -58,10 +58,10 @@
     return {.peer_address = peers_.front(),
             .digest = Digest(),
             .changes = {},
-            .age = age,
+            .backends_age = age,
             .configuration_age = age,
-            .heard_life = daemon_.state().options.life,
-            .heard_sequence = daemon_.state().sequence};
+            .heard_incarnation = daemon_.state().options.incarnation,
+            .heard_sequence = daemon_.state().snapshot_sequence};
   }
   StoreDigest Digest() {
     StoreDigest digest{
@@ -82,8 +82,8 @@
     for (Duration passed{}; passed < time; passed += milliseconds(100)) {
       Hear();
       if (proofs) Relay(Proof());
-      daemon_.Pass(milliseconds(100));
-      asked = asked || daemon_.First<AskStore>() != nullptr;
+      daemon_.AdvanceTime(milliseconds(100));
+      asked = asked || daemon_.FirstEffect<PollStore>() != nullptr;
     }
     return asked;
   }
@@ -96,11 +96,11 @@
 
 TEST_CASE("A lone daemon asks and watches") {
   Daemon daemon;
-  daemon.Pass(seconds(1));
-  const auto* watch = daemon.First<WatchStore>();
+  daemon.AdvanceTime(seconds(1));
+  const auto* watch = daemon.FirstEffect<WatchStore>();
   REQUIRE(watch != nullptr);
-  CHECK(watch->on);
-  const auto* question = daemon.First<AskStore>();
+  CHECK(watch->enabled);
+  const auto* question = daemon.FirstEffect<PollStore>();
   REQUIRE(question != nullptr);
   CHECK(question->configuration.number == 1);
   CHECK(question->backends.size() == 9);
@@ -115,8 +115,8 @@
     for (const std::string& it : all) {
       daemon.Feed(SnapshotReceived{PeerSnapshot(it, 1)});
     }
-    daemon.Pass(milliseconds(1000));
-    if (daemon.First<WatchStore>() != nullptr) ++askers;
+    daemon.AdvanceTime(milliseconds(1000));
+    if (daemon.FirstEffect<WatchStore>() != nullptr) ++askers;
   }
   CHECK(askers == 2);
 }
@@ -135,7 +135,7 @@
     return Reduce(state, {.now = now, .body = std::move(body)});
   };
   feed(Tick{});
-  feed(BackendsListed{.revision = {.number = 5}, .asked = now});
+  feed(BackendsListed{.revision = {.number = 5}, .queried_at = now});
   std::uint64_t sequence = 0;
   int questions = 0;
   for (int i = 0; i < 25; ++i) {
@@ -146,12 +146,12 @@
     }
     // That there is no configuration is proved too.
     feed(StoreRelayReceived{{.peer_address = "2.2.2.2:0",
-                             .age = milliseconds(5),
+                             .backends_age = milliseconds(5),
                              .configuration_age = milliseconds(5),
-                             .heard_life = state.options.life,
-                             .heard_sequence = state.sequence}});
+                             .heard_incarnation = state.options.incarnation,
+                             .heard_sequence = state.snapshot_sequence}});
     for (const Effect& it : feed(Tick{})) {
-      if (std::holds_alternative<AskStore>(it)) ++questions;
+      if (std::holds_alternative<PollStore>(it)) ++questions;
     }
   }
   CHECK(questions == 0);
@@ -160,18 +160,18 @@
 
 TEST_CASE("A daemon whose question failed asks for itself only") {
   Daemon daemon;
-  daemon.Pass(seconds(1));
+  daemon.AdvanceTime(seconds(1));
   daemon.Feed(StoreUnreachable{});
   for (const char* it : {"a:1", "b:1"}) {
     daemon.Feed(SnapshotReceived{PeerSnapshot(it, 1)});
   }
-  daemon.Pass(milliseconds(600));
-  const auto* watch = daemon.First<WatchStore>();
+  daemon.AdvanceTime(milliseconds(600));
+  const auto* watch = daemon.FirstEffect<WatchStore>();
   REQUIRE(watch != nullptr);
-  CHECK_FALSE(watch->on);
-  const auto* told = daemon.First<PublishSnapshot>();
+  CHECK_FALSE(watch->enabled);
+  const auto* told = daemon.FirstEffect<PublishSnapshot>();
   REQUIRE(told != nullptr);
-  CHECK_FALSE(told->snapshot.asks_store);
+  CHECK_FALSE(told->snapshot.polls_store);
 }
 
 TEST_CASE("A relay is never taken for younger than it is") {
@@ -186,7 +186,7 @@
   CHECK(daemon.state().store.backends_confirmed_at <= sent);
   // One that answers to nothing of this life proves nothing.
   StoreRelay foreign = listener.Proof();
-  foreign.heard_life = daemon.state().options.life + 1;
+  foreign.heard_incarnation = daemon.state().options.incarnation + 1;
   const Time before = daemon.state().confirmed_at;
   listener.Relay(foreign);
   CHECK(daemon.state().confirmed_at == before);
@@ -197,7 +197,7 @@
   Daemon& daemon = listener.daemon();
   const BackendServer server = daemon.state().backends.at("app0").server;
   StoreRelay relay = listener.Proof();
-  relay.age.reset();
+  relay.backends_age.reset();
   relay.changes = {
       {.id = "app0", .revision = {.number = server.revision.number + 5}}};
   listener.Relay(relay);
@@ -226,8 +226,8 @@
   for (int i = 0; i < 20; ++i) {
     ++relay.digest.configuration.revision.number;
     listener.Relay(relay);
-    daemon.Pass(milliseconds(50));
-    if (daemon.First<ReadConfiguration>() != nullptr) ++reads;
+    daemon.AdvanceTime(milliseconds(50));
+    if (daemon.FirstEffect<ReadConfiguration>() != nullptr) ++reads;
   }
   CHECK(reads >= 1);
   CHECK(reads <= 3);
@@ -237,16 +237,16 @@
   CHECK(daemon.state().confirmed_at == before);
   // Once it knows that one it is proved, for when the asker asked.
   listener.Hear();
-  daemon.Pass(milliseconds(100));
+  daemon.AdvanceTime(milliseconds(100));
   StoreRelay proof = listener.Proof();
   proof.digest.configuration = relay.digest.configuration;
   const Time sent = daemon.now();
   listener.Relay(proof);
-  daemon.Pass(milliseconds(300));
+  daemon.AdvanceTime(milliseconds(300));
   daemon.Feed(
-      ConfigurationSeen{.configuration = test::MakeConfiguration(
-                            relay.digest.configuration.revision.number + 1),
-                        .asked = Time{}});
+      ConfigurationReceived{.configuration = test::MakeConfiguration(
+                                relay.digest.configuration.revision.number + 1),
+                            .queried_at = Time{}});
   CHECK(daemon.state().confirmed_at > before);
   CHECK(daemon.state().confirmed_at <= sent);
 }
@@ -256,8 +256,8 @@
   Daemon& daemon = listener.daemon();
   const StoreRelay proof = listener.Proof();
   const Time before = daemon.state().confirmed_at;
-  daemon.Feed(ConfigurationSeen{.configuration = test::MakeConfiguration(7),
-                                .asked = Time{}});
+  daemon.Feed(ConfigurationReceived{.configuration = test::MakeConfiguration(7),
+                                    .queried_at = Time{}});
   listener.Relay(proof);
   CHECK(daemon.state().confirmed_at > before);
 }
@@ -273,21 +273,21 @@
     daemon.Feed(SnapshotReceived{PeerSnapshot(first, ++sequence)});
   };
   hear();
-  daemon.Pass(milliseconds(1000));
+  daemon.AdvanceTime(milliseconds(1000));
   hear();
-  daemon.Pass(milliseconds(100));
+  daemon.AdvanceTime(milliseconds(100));
   REQUIRE(daemon.state().store.watching);
-  CHECK_FALSE(daemon.state().store.leads);
-  daemon.Confirm();
+  CHECK_FALSE(daemon.state().store.is_lead_poller);
+  daemon.ConfirmStore();
   const auto asks = [&](bool told) {
     int n = 0;
     for (int i = 0; i < 60; ++i) {
       hear();
-      if (told) daemon.Confirm();
-      daemon.Pass(milliseconds(100));
-      if (daemon.First<AskStore>() != nullptr) {
+      if (told) daemon.ConfirmStore();
+      daemon.AdvanceTime(milliseconds(100));
+      if (daemon.FirstEffect<PollStore>() != nullptr) {
         ++n;
-        daemon.Confirm();
+        daemon.ConfirmStore();
       }
     }
     return n;
@@ -305,7 +305,7 @@
           SnapshotReceived{PeerSnapshot("3.3.3.3:" + std::to_string(i), 1)});
     }
     for (int i = 0; i < 6; ++i) daemon.Feed(StoreUnreachable{});
-    return daemon.state().store.ask_due - daemon.now();
+    return daemon.state().store.poll_due - daemon.now();
   };
   CHECK(pause_beside(2) <= milliseconds(1600));
   CHECK(pause_beside(58) >= seconds(2));
@@ -321,20 +321,20 @@
   // The others know a newer configuration, which it can't read.
   for (int i = 0; i < 35; ++i) {
     listener.Hear();
-    relay.heard_sequence = daemon.state().sequence;
+    relay.heard_sequence = daemon.state().snapshot_sequence;
     listener.Relay(relay);
-    daemon.Pass(milliseconds(100));
+    daemon.AdvanceTime(milliseconds(100));
     // Nor does any of the others tell it.
-    if (daemon.First<ReadConfiguration>() != nullptr) {
-      daemon.Feed(StoreAsked{});
+    if (daemon.FirstEffect<ReadConfiguration>() != nullptr) {
+      daemon.Feed(StoreQueried{});
     }
     CHECK(IsServing(daemon.state()));
   }
   // What reaches it again is asked at once.
-  daemon.Feed(StoreHeard{});
+  daemon.Feed(StoreResponded{});
   CHECK(IsServing(daemon.state()));
-  daemon.Pass(milliseconds(10));
-  CHECK(daemon.First<AskStore>() != nullptr);
+  daemon.AdvanceTime(milliseconds(10));
+  CHECK(daemon.FirstEffect<PollStore>() != nullptr);
 }
 
 TEST_CASE("Entries that stay different are listed") {
@@ -346,34 +346,34 @@
     relay.digest.backends ^= 1;
     listener.Relay(relay);
     listener.Hear();
-    daemon.Pass(milliseconds(100));
-    listed = listed || daemon.First<ListStore>() != nullptr;
+    daemon.AdvanceTime(milliseconds(100));
+    listed = listed || daemon.FirstEffect<ListStore>() != nullptr;
   }
   CHECK(listed);
 }
 
 TEST_CASE("An asker tells its data centre what changed, and proofs") {
   Daemon daemon;
-  daemon.Pass(seconds(1));
+  daemon.AdvanceTime(seconds(1));
   LoadSnapshot here = PeerSnapshot("a:1", 7);
-  here.asks_store = false;
+  here.polls_store = false;
   LoadSnapshot elsewhere = PeerSnapshot("b:1", 1);
   elsewhere.data_centre = "other";
   daemon.Feed(SnapshotReceived{here});
   daemon.Feed(SnapshotReceived{elsewhere});
-  daemon.Feed(
-      ConfigurationConfirmed{.revision = {.number = 1}, .asked = daemon.now()});
-  daemon.Feed(BackendsConfirmed{.asked = daemon.now()});
-  daemon.List("app", 0, /*leaving=*/true);
-  daemon.Pass(milliseconds(30));
-  const auto* relay = daemon.First<RelayStore>();
+  daemon.Feed(ConfigurationConfirmed{.revision = {.number = 1},
+                                     .queried_at = daemon.now()});
+  daemon.Feed(BackendsConfirmed{.queried_at = daemon.now()});
+  daemon.ListBackend("app", 0, /*leaving=*/true);
+  daemon.AdvanceTime(milliseconds(30));
+  const auto* relay = daemon.FirstEffect<RelayStoreState>();
   REQUIRE(relay != nullptr);
   REQUIRE(relay->messages.size() == 1);
   const auto& [to, message] = relay->messages.front();
   CHECK(to == "a:1");
   CHECK(message.heard_sequence == 7);
-  REQUIRE(message.age.has_value());
-  CHECK(*message.age <= milliseconds(30));
+  REQUIRE(message.backends_age.has_value());
+  CHECK(*message.backends_age <= milliseconds(30));
   REQUIRE_FALSE(message.changes.empty());
   CHECK(message.changes.back().id == "app0");
   CHECK(message.changes.back().server->leaving);
@@ -383,24 +383,24 @@
 TEST_CASE("A server that a copy lacks is known by what it writes again") {
   Listener listener;
   Daemon& daemon = listener.daemon();
-  daemon.Feed(StoreEraSeen{.era = 1});
+  daemon.Feed(StoreEpochObserved{.epoch = 1});
   const BackendServer server = daemon.state().backends.at("app0").server;
   StoreRelay relay = listener.Proof();
-  relay.era = 2;
+  relay.epoch = 2;
   relay.changes = {
-      {.id = "app0", .revision = {.era = 2, .number = 3}, .certain = false}};
+      {.id = "app0", .revision = {.epoch = 2, .number = 3}, .certain = false}};
   listener.Relay(relay);
   REQUIRE(daemon.state().backends.at("app0").gone_at.has_value());
   // The others are proved to be as they were.
   listener.Hear();
-  daemon.Pass(milliseconds(100));
+  daemon.AdvanceTime(milliseconds(100));
   StoreRelay proof = listener.Proof();
-  proof.era = 2;
+  proof.epoch = 2;
   proof.digest.backends ^= daemon.state().backends.at("app0").entry_hash;
   listener.Relay(proof);
-  CHECK(daemon.state().backends.at("app1").server.revision.era == 2);
+  CHECK(daemon.state().backends.at("app1").server.revision.epoch == 2);
   BackendServer again = server;
-  again.revision = {.era = 2, .number = 4};
+  again.revision = {.epoch = 2, .number = 4};
   REQUIRE(again.revision.number < server.revision.number);
   relay.changes = {{.id = "app0", .revision = again.revision, .server = again}};
   listener.Relay(relay);
--- a/serving/test/store_relay_drawn_test.cc
+++ b/serving/test/store_relay_drawn_test.cc
@@ -11,14 +11,15 @@
 namespace scaleshed::serving {
 namespace {
 
-using test::Fleet;
 using test::HoldsUnderSteps;
+using test::RelayFleet;
 
 TEST_CASE("Nothing is taken for proved that is not, under drawn failures") {
   // Without other wishes every run draws the same sequences.
   setenv("RC_PARAMS", "seed=20261202 max_success=600 max_size=120",
          /*overwrite=*/0);
-  CHECK(HoldsUnderSteps("relays tell no more than is known", Fleet::kCopies));
+  CHECK(HoldsUnderSteps("relays tell no more than is known",
+                        RelayFleet::kCopies));
 }
 
 }  // namespace
--- a/serving/test/store_restores_drawn_test.cc
+++ b/serving/test/store_restores_drawn_test.cc
@@ -10,8 +10,8 @@
 namespace {
 
 using test::DrawnStep;
-using test::Fleet;
 using test::HoldsUnderSteps;
+using test::RelayFleet;
 
 // Copies and restores among them: revisions are given out again, answers and
 // relays of the lost history come late, daemons start and are cut off
@@ -20,25 +20,25 @@
   setenv("RC_PARAMS", "seed=20261202 max_success=200 max_size=60",
          /*overwrite=*/0);
   CHECK(HoldsUnderSteps("what was accepted stays in force",
-                        Fleet::kKillsAll + 1));
+                        RelayFleet::kKillsAll + 1));
 }
 
 // The daemons that started took the copy for proof.
 TEST_CASE("A restore that no daemon lived through is known all the same") {
   constexpr int kConfigures = 0;
   constexpr int kPasses = 12;
-  Fleet fleet;
+  RelayFleet fleet;
   for (const DrawnStep& it : std::vector<DrawnStep>{
-           {.kind = Fleet::kCopies},
+           {.kind = RelayFleet::kCopies},
            {.kind = kConfigures},
            {.kind = kPasses, .second = 900},
-           {.kind = Fleet::kRestores, .first = 100, .second = 900},
-           {.kind = Fleet::kKillsAll},
+           {.kind = RelayFleet::kRestores, .first = 100, .second = 900},
+           {.kind = RelayFleet::kKillsAll},
            {.kind = kPasses, .second = 900},
            {.kind = kPasses, .second = 900}}) {
-    fleet.Play(it);
+    fleet.ApplyStep(it);
   }
-  fleet.Calm();
+  fleet.CheckRecovery();
   for (const std::string& it : fleet.violations()) UNSCOPED_INFO(it);
   CHECK(fleet.violations().empty());
 }
--- a/serving/test/suspension_test.cc
+++ b/serving/test/suspension_test.cc
@@ -14,16 +14,16 @@
 constexpr Duration kSuspended = seconds(8);
 
 const Refuse* RefusalOf(Daemon& daemon, const std::string& route) {
-  daemon.Ask(route);
-  CHECK(daemon.First<StartAttempt>() == nullptr);
-  return daemon.First<Refuse>();
+  daemon.SendRequest(route);
+  CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
+  return daemon.FirstEffect<Refuse>();
 }
 
 TEST_CASE("What was proved before a suspension is not gone by after it") {
   Daemon daemon;
-  daemon.Confirm();
-  daemon.Ask("stream");
-  REQUIRE(daemon.First<StartAttempt>() != nullptr);
+  daemon.ConfirmStore();
+  daemon.SendRequest("stream");
+  REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
   daemon.SetNow(daemon.now() + kSuspended);
   const Refuse* refusal = RefusalOf(daemon, "stream");
   REQUIRE(refusal != nullptr);
@@ -33,36 +33,36 @@
 
 TEST_CASE("A time limit that passed in a suspension is over at once") {
   Daemon daemon;
-  daemon.Confirm();
-  daemon.Ask("stream", 2000, seconds(5));
+  daemon.ConfirmStore();
+  daemon.SendRequest("stream", 2000, seconds(5));
   daemon.SetNow(daemon.now() + kSuspended);
   daemon.Feed(Tick{});
-  const auto* refusal = daemon.First<Refuse>();
+  const auto* refusal = daemon.FirstEffect<Refuse>();
   REQUIRE(refusal != nullptr);
   CHECK(refusal->status == 504);
-  CHECK(daemon.First<CancelAttempt>() != nullptr);
+  CHECK(daemon.FirstEffect<CancelAttempt>() != nullptr);
 }
 
 TEST_CASE("A part of the slack ends in a suspension as it does without one") {
   SlackShare slack(seconds(10));
   HoldSlack(slack);
-  slack.NoteDaemons(kStart, 4);
+  slack.RecordDaemonCount(kStart, 4);
   const Time awake = kStart + seconds(3599);
-  REQUIRE(slack.PartAt(awake) > 0);
-  CHECK(slack.PartAt(awake + kSuspended) == 0);
+  REQUIRE(slack.FractionAt(awake) > 0);
+  CHECK(slack.FractionAt(awake + kSuspended) == 0);
 }
 
 TEST_CASE("A request is not placed by works told before a suspension") {
   Daemon daemon;
-  daemon.Confirm();
+  daemon.ConfirmStore();
   LoadSnapshot other = PeerSnapshot(1);
-  other.works = {{.id = 1, .backend = 2}};
+  other.active_requests = {{.id = 1, .backend = 2}};
   daemon.Feed(SnapshotReceived{other});
-  CHECK(LookUp(daemon.state()).addresses.size() == 2);
+  CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 2);
   daemon.SetNow(daemon.now() + kSuspended);
   daemon.Feed(Tick{});
-  daemon.Confirm();
-  CHECK(LookUp(daemon.state()).addresses.size() == 1);
+  daemon.ConfirmStore();
+  CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 1);
 }
 
 }  // namespace
--- a/wire/include/scaleshed/wire/datagram_codec.h
+++ b/wire/include/scaleshed/wire/datagram_codec.h
@@ -17,8 +17,8 @@
 // not agree.
 std::string EncodeDatagram(const serving::LoadSnapshot& snapshot, Time now);
 std::string EncodeDatagram(const serving::StoreRelay& relay);
-std::string EncodeDatagram(const serving::PlaceQuestion& question, Time now);
-std::string EncodeDatagram(const serving::PlaceAnswer& answer);
+std::string EncodeDatagram(const serving::PlacementRequest& question, Time now);
+std::string EncodeDatagram(const serving::PlacementResponse& answer);
 // The event that brings what was encoded; nothing where the bytes are none.
 std::optional<serving::EventBody> DecodeDatagram(const std::string& bytes,
                                                  Time now);
--- a/wire/src/datagram_codec.cc
+++ b/wire/src/datagram_codec.cc
@@ -9,63 +9,64 @@
 namespace scaleshed {
 namespace {
 
-void WriteWork(const serving::Work& work, Time now, wire::Work& to) {
+void WriteWork(const serving::ActiveRequest& work, Time now, wire::Work& to) {
   to.set_id(work.id);
   to.set_backend(work.backend);
   for (const auto it : work.helpers) to.add_helpers(it);
   to.set_prompt_tokens(work.prompt_tokens);
   to.set_answer_tokens(work.answer_tokens);
-  to.set_age_us((now - work.started).count());
-  to.set_writing(work.writing);
-  to.set_longest_pause_us(work.longest_pause.count());
+  to.set_age_us((now - work.started_at).count());
+  to.set_writing(work.decoding);
+  to.set_longest_pause_us(work.max_event_gap.count());
   for (const auto it : work.helper_tokens) to.add_helper_tokens(it);
-  to.set_content(work.content);
+  to.set_content(work.fingerprint);
 }
 
-serving::Work ReadWork(const wire::Work& from, Time now) {
+serving::ActiveRequest ReadWork(const wire::Work& from, Time now) {
   return {.id = from.id(),
           .backend = from.backend(),
           .helpers = {from.helpers().begin(), from.helpers().end()},
           .prompt_tokens = from.prompt_tokens(),
           .answer_tokens = from.answer_tokens(),
-          .started = now - Duration(from.age_us()),
-          .writing = from.writing(),
-          .longest_pause = Duration(from.longest_pause_us()),
+          .started_at = now - Duration(from.age_us()),
+          .decoding = from.writing(),
+          .max_event_gap = Duration(from.longest_pause_us()),
           .helper_tokens = {from.helper_tokens().begin(),
                             from.helper_tokens().end()},
-          .content = from.content()};
+          .fingerprint = from.content()};
 }
 
 void WriteSnapshot(const serving::LoadSnapshot& snapshot, Time now,
                    wire::LoadSnapshot& to) {
   // The last whole one has told these.
-  if (!snapshot.partial) {
+  if (!snapshot.incremental) {
     to.set_instance(snapshot.instance);
     to.set_data_centre(snapshot.data_centre);
   }
   to.set_peer_address(snapshot.peer_address);
-  to.set_life(snapshot.life);
+  to.set_life(snapshot.incarnation);
   to.set_sequence(snapshot.sequence);
   to.set_serving(snapshot.serving);
   to.set_version(snapshot.configuration.version);
   to.set_revision(snapshot.configuration.revision.number);
-  to.set_configuration_era(snapshot.configuration.revision.era);
-  to.set_era(snapshot.era);
-  to.set_unsettled_us(snapshot.unsettled_for.count());
-  to.set_asks_store(snapshot.asks_store);
-  to.set_partial(snapshot.partial);
+  to.set_configuration_era(snapshot.configuration.revision.epoch);
+  to.set_era(snapshot.epoch);
+  to.set_unsettled_us(snapshot.reconciling_for.count());
+  to.set_asks_store(snapshot.polls_store);
+  to.set_partial(snapshot.incremental);
   to.set_is_hub(snapshot.is_hub);
   to.set_places(snapshot.places);
-  if (!snapshot.partial) to.set_capacity(snapshot.capacity);
-  for (const auto it : snapshot.ended) to.add_ended(it);
-  for (const auto& it : snapshot.works) WriteWork(it, now, *to.add_works());
+  if (!snapshot.incremental) to.set_capacity(snapshot.capacity);
+  for (const auto it : snapshot.finished_ids) to.add_ended(it);
+  for (const auto& it : snapshot.active_requests)
+    WriteWork(it, now, *to.add_works());
   for (const auto& it : snapshot.waiting) {
     wire::Waiting& waiting = *to.add_waiting();
     waiting.set_id(it.id);
     waiting.set_service(it.service);
-    waiting.set_turn_in_us((it.turn - now).count());
-    waiting.set_read_us(it.read.count());
-    waiting.set_for_start(it.for_start);
+    waiting.set_turn_in_us((it.queue_key - now).count());
+    waiting.set_read_us(it.prefill_time.count());
+    waiting.set_for_start(it.awaits_rate_limit);
   }
   for (const auto& it : snapshot.suspicions) {
     wire::Suspicion& suspicion = *to.add_suspicions();
@@ -73,18 +74,18 @@
     suspicion.set_left_us((it.until - now).count());
     suspicion.set_failed(it.failed);
   }
-  for (const auto& it : snapshot.endings) {
+  for (const auto& it : snapshot.crashes) {
     wire::Ending& ending = *to.add_endings();
-    ending.set_content(it.content);
-    ending.set_life(it.life);
-    ending.set_forgiven(it.forgiven);
+    ending.set_content(it.fingerprint);
+    ending.set_life(it.incarnation);
+    ending.set_forgiven(it.cleared);
   }
-  for (const auto it : snapshot.asked) to.add_asked(it);
+  for (const auto it : snapshot.crash_checks) to.add_asked(it);
   for (const auto& it : snapshot.limits) {
     wire::ServerLimit& limit = *to.add_limits();
     limit.set_backend(it.backend);
     if (it.per_second) limit.set_per_second(*it.per_second);
-    limit.set_age_us((now - it.heard).count());
+    limit.set_age_us((now - it.received_at).count());
   }
   for (const auto it : snapshot.leaving) to.add_leaving(it);
 }
@@ -96,7 +97,7 @@
       .backend = from.backend(),
       .per_second = {},
       // An age below zero would make it newer than what is named next.
-      .heard = now - Duration(std::max<std::int64_t>(from.age_us(), 0))};
+      .received_at = now - Duration(std::max<std::int64_t>(from.age_us(), 0))};
   if (!from.has_per_second()) return limit;
   limit.per_second = from.per_second();
   const bool is_rate =
@@ -109,36 +110,37 @@
       .instance = from.instance(),
       .peer_address = from.peer_address(),
       .data_centre = from.data_centre(),
-      .life = from.life(),
+      .incarnation = from.life(),
       .sequence = from.sequence(),
       .serving = from.serving(),
-      .asks_store = from.asks_store(),
+      .polls_store = from.asks_store(),
       .is_hub = from.is_hub(),
       .places = from.places(),
       .capacity = from.capacity(),
       .configuration = {.version = from.version(),
-                        .revision = {.era = from.configuration_era(),
+                        .revision = {.epoch = from.configuration_era(),
                                      .number = from.revision()}},
-      .era = from.era(),
-      .unsettled_for = Duration(std::max<std::int64_t>(from.unsettled_us(), 0)),
-      .partial = from.partial(),
-      .works = {},
-      .ended = {from.ended().begin(), from.ended().end()},
+      .epoch = from.era(),
+      .reconciling_for =
+          Duration(std::max<std::int64_t>(from.unsettled_us(), 0)),
+      .incremental = from.partial(),
+      .active_requests = {},
+      .finished_ids = {from.ended().begin(), from.ended().end()},
       .waiting = {},
       .suspicions = {},
-      .endings = {},
+      .crashes = {},
       .limits = {},
       .leaving = {from.leaving().begin(), from.leaving().end()},
-      .asked = {from.asked().begin(), from.asked().end()}};
+      .crash_checks = {from.asked().begin(), from.asked().end()}};
   for (const auto& it : from.works()) {
-    snapshot.works.push_back(ReadWork(it, now));
+    snapshot.active_requests.push_back(ReadWork(it, now));
   }
   for (const auto& it : from.waiting()) {
     snapshot.waiting.push_back({.id = it.id(),
                                 .service = it.service(),
-                                .turn = now + Duration(it.turn_in_us()),
-                                .read = Duration(it.read_us()),
-                                .for_start = it.for_start()});
+                                .queue_key = now + Duration(it.turn_in_us()),
+                                .prefill_time = Duration(it.read_us()),
+                                .awaits_rate_limit = it.for_start()});
   }
   for (const auto& it : from.suspicions()) {
     snapshot.suspicions.push_back({.backend = it.backend(),
@@ -146,9 +148,9 @@
                                    .failed = it.failed()});
   }
   for (const auto& it : from.endings()) {
-    snapshot.endings.push_back({.content = it.content(),
-                                .life = it.life(),
-                                .forgiven = it.forgiven()});
+    snapshot.crashes.push_back({.fingerprint = it.content(),
+                                .incarnation = it.life(),
+                                .cleared = it.forgiven()});
   }
   for (const auto& it : from.limits()) {
     const auto limit = ReadLimit(it, now);
@@ -161,7 +163,7 @@
                  wire::BackendChange& to) {
   to.set_id(change.id);
   to.set_revision(change.revision.number);
-  to.set_era(change.revision.era);
+  to.set_era(change.revision.epoch);
   to.set_certain(change.certain);
   if (!change.server) return;
   wire::BackendServer& server = *to.mutable_server();
@@ -170,14 +172,14 @@
   server.set_data_centre(change.server->data_centre);
   server.set_slots(change.server->slots);
   server.set_leaving(change.server->leaving);
-  server.set_born(change.server->born);
-  server.set_fault(change.server->fault);
+  server.set_born(change.server->start_unix_ms);
+  server.set_fault(change.server->entry_error);
 }
 
 serving::BackendChange ReadChange(const wire::BackendChange& from) {
   serving::BackendChange change{
       .id = from.id(),
-      .revision = {.era = from.era(), .number = from.revision()},
+      .revision = {.epoch = from.era(), .number = from.revision()},
       .server = {},
       .certain = from.certain()};
   if (!from.has_server()) return change;
@@ -188,40 +190,41 @@
                    .slots = from.server().slots(),
                    .leaving = from.server().leaving(),
                    .revision = change.revision,
-                   .born = from.server().born(),
-                   .fault = from.server().fault()};
+                   .start_unix_ms = from.server().born(),
+                   .entry_error = from.server().fault()};
   return change;
 }
 
 serving::StoreRelay ReadRelay(const wire::StoreRelay& from) {
   serving::StoreRelay relay{
       .peer_address = from.peer_address(),
-      .era = from.era(),
-      .digest = {.configuration = {.version = from.version(),
-                                   .revision = {.era = from.configuration_era(),
-                                                .number =
-                                                    from.configuration()}},
-                 .backends = from.backends(),
-                 .endings = from.endings_digest()},
+      .epoch = from.era(),
+      .digest =
+          {.configuration = {.version = from.version(),
+                             .revision = {.epoch = from.configuration_era(),
+                                          .number = from.configuration()}},
+           .backends = from.backends(),
+           .crashes = from.endings_digest()},
       .changes = {},
-      .endings = {},
-      .complete_at = {.era = from.complete_era(), .number = from.complete_at()},
-      .age = {},
+      .crashes = {},
+      .complete_up_to = {.epoch = from.complete_era(),
+                         .number = from.complete_at()},
+      .backends_age = {},
       .configuration_age = {},
       .daemons = 0,
       .daemons_age = {},
-      .heard_life = from.heard_life(),
+      .heard_incarnation = from.heard_life(),
       .heard_sequence = from.heard_sequence()};
   for (const auto& it : from.changes()) relay.changes.push_back(ReadChange(it));
   for (const auto& it : from.endings()) {
-    relay.endings.push_back(
-        {.content = it.content(),
-         .lives = {it.lives().begin(), it.lives().end()},
-         .revision = {.era = it.era(), .number = it.revision()}});
+    relay.crashes.push_back(
+        {.fingerprint = it.content(),
+         .incarnations = {it.lives().begin(), it.lives().end()},
+         .revision = {.epoch = it.era(), .number = it.revision()}});
   }
   // An age below zero would make the proof younger than it is.
   if (from.has_age_us() && from.age_us() >= 0) {
-    relay.age = Duration(from.age_us());
+    relay.backends_age = Duration(from.age_us());
   }
   if (from.has_configuration_age_us() && from.configuration_age_us() >= 0) {
     relay.configuration_age = Duration(from.configuration_age_us());
@@ -233,12 +236,13 @@
   return relay;
 }
 
-serving::PlaceQuestion ReadQuestion(const wire::PlaceQuestion& from, Time now) {
+serving::PlacementRequest ReadQuestion(const wire::PlaceQuestion& from,
+                                       Time now) {
   return {.peer_address = from.peer_address(),
-          .life = from.life(),
+          .incarnation = from.life(),
           .id = from.id(),
-          .round = from.round(),
-          .over = from.over(),
+          .attempt_number = from.round(),
+          .withdrawn = from.over(),
           .request = from.request(),
           .service = from.service(),
           .prompt_tokens = from.prompt_tokens(),
@@ -246,47 +250,49 @@
           .arrived = now - Duration(from.age_us()),
           .due = now + Duration(from.due_in_us()),
           .deadline = now + Duration(from.deadline_in_us()),
-          .longest_pause = Duration(from.longest_pause_us()),
-          .tried = {from.tried().begin(), from.tried().end()},
-          .resting = {from.resting().begin(), from.resting().end()},
-          .content = from.content(),
-          .doubtful = from.doubtful()};
+          .max_event_gap = Duration(from.longest_pause_us()),
+          .excluded = {from.tried().begin(), from.tried().end()},
+          .backing_off = {from.resting().begin(), from.resting().end()},
+          .fingerprint = from.content(),
+          .crash_suspected = from.doubtful()};
 }
 
 // Nothing where it names what this version does not know.
-std::optional<serving::PlaceAnswer> ReadAnswer(const wire::PlaceAnswer& from) {
+std::optional<serving::PlacementResponse> ReadAnswer(
+    const wire::PlaceAnswer& from) {
   const auto outcome = static_cast<std::size_t>(from.outcome());
   const auto shortage = static_cast<std::size_t>(from.shortage());
-  if (outcome >= serving::kPlaceOutcomeNames.size() ||
+  if (outcome >= serving::kPlacementOutcomeNames.size() ||
       shortage >= serving::kShortageNames.size()) {
     return std::nullopt;
   }
-  return serving::PlaceAnswer{
+  return serving::PlacementResponse{
       .peer_address = from.peer_address(),
-      .life = from.life(),
+      .incarnation = from.life(),
       .id = from.id(),
-      .round = from.round(),
-      .outcome = static_cast<serving::PlaceOutcome>(outcome),
-      .placed = {.backend = from.backend(),
-                 .helpers = {from.helpers().begin(), from.helpers().end()},
-                 .helper_tokens = {from.helper_tokens().begin(),
-                                   from.helper_tokens().end()},
-                 .first_token = Duration(from.first_token_us())},
-      .counted = {from.counted().begin(), from.counted().end()},
+      .attempt_number = from.round(),
+      .outcome = static_cast<serving::PlacementOutcome>(outcome),
+      .placement = {.backend = from.backend(),
+                    .helpers = {from.helpers().begin(), from.helpers().end()},
+                    .helper_tokens = {from.helper_tokens().begin(),
+                                      from.helper_tokens().end()},
+                    .first_token = Duration(from.first_token_us())},
+      .rate_limits_counted = {from.counted().begin(), from.counted().end()},
       .shortage = static_cast<serving::Shortage>(shortage),
       .retry_after = Duration(from.retry_after_us())};
 }
 
 }  // namespace
 
-std::string EncodeDatagram(const serving::PlaceQuestion& question, Time now) {
+std::string EncodeDatagram(const serving::PlacementRequest& question,
+                           Time now) {
   wire::Datagram datagram;
   wire::PlaceQuestion& to = *datagram.mutable_question();
   to.set_peer_address(question.peer_address);
-  to.set_life(question.life);
+  to.set_life(question.incarnation);
   to.set_id(question.id);
-  to.set_round(question.round);
-  to.set_over(question.over);
+  to.set_round(question.attempt_number);
+  to.set_over(question.withdrawn);
   to.set_request(question.request);
   to.set_service(question.service);
   to.set_prompt_tokens(question.prompt_tokens);
@@ -294,29 +300,29 @@
   to.set_age_us((now - question.arrived).count());
   to.set_due_in_us((question.due - now).count());
   to.set_deadline_in_us((question.deadline - now).count());
-  to.set_longest_pause_us(question.longest_pause.count());
-  for (const auto it : question.tried) to.add_tried(it);
-  for (const auto it : question.resting) to.add_resting(it);
-  to.set_content(question.content);
-  to.set_doubtful(question.doubtful);
+  to.set_longest_pause_us(question.max_event_gap.count());
+  for (const auto it : question.excluded) to.add_tried(it);
+  for (const auto it : question.backing_off) to.add_resting(it);
+  to.set_content(question.fingerprint);
+  to.set_doubtful(question.crash_suspected);
   return datagram.SerializeAsString();
 }
 
-std::string EncodeDatagram(const serving::PlaceAnswer& answer) {
+std::string EncodeDatagram(const serving::PlacementResponse& answer) {
   wire::Datagram datagram;
   wire::PlaceAnswer& to = *datagram.mutable_answer();
   to.set_peer_address(answer.peer_address);
-  to.set_life(answer.life);
+  to.set_life(answer.incarnation);
   to.set_id(answer.id);
-  to.set_round(answer.round);
+  to.set_round(answer.attempt_number);
   to.set_outcome(static_cast<int>(answer.outcome));
   to.set_shortage(static_cast<int>(answer.shortage));
   to.set_retry_after_us(answer.retry_after.count());
-  to.set_backend(answer.placed.backend);
-  for (const auto it : answer.placed.helpers) to.add_helpers(it);
-  for (const auto it : answer.placed.helper_tokens) to.add_helper_tokens(it);
-  to.set_first_token_us(answer.placed.first_token.count());
-  for (const auto it : answer.counted) to.add_counted(it);
+  to.set_backend(answer.placement.backend);
+  for (const auto it : answer.placement.helpers) to.add_helpers(it);
+  for (const auto it : answer.placement.helper_tokens) to.add_helper_tokens(it);
+  to.set_first_token_us(answer.placement.first_token.count());
+  for (const auto it : answer.rate_limits_counted) to.add_counted(it);
   return datagram.SerializeAsString();
 }
 
@@ -330,21 +336,21 @@
   wire::Datagram datagram;
   wire::StoreRelay& to = *datagram.mutable_relay();
   to.set_peer_address(relay.peer_address);
-  to.set_era(relay.era);
+  to.set_era(relay.epoch);
   to.set_version(relay.digest.configuration.version);
   to.set_configuration(relay.digest.configuration.revision.number);
-  to.set_configuration_era(relay.digest.configuration.revision.era);
+  to.set_configuration_era(relay.digest.configuration.revision.epoch);
   to.set_backends(relay.digest.backends);
   for (const auto& it : relay.changes) WriteChange(it, *to.add_changes());
-  to.set_endings_digest(relay.digest.endings);
-  for (const auto& it : relay.endings) {
+  to.set_endings_digest(relay.digest.crashes);
+  for (const auto& it : relay.crashes) {
     wire::StoredEndings& endings = *to.add_endings();
-    endings.set_content(it.content);
-    for (const auto life : it.lives) endings.add_lives(life);
+    endings.set_content(it.fingerprint);
+    for (const auto life : it.incarnations) endings.add_lives(life);
     endings.set_revision(it.revision.number);
-    endings.set_era(it.revision.era);
+    endings.set_era(it.revision.epoch);
   }
-  if (relay.age) to.set_age_us(relay.age->count());
+  if (relay.backends_age) to.set_age_us(relay.backends_age->count());
   if (relay.configuration_age) {
     to.set_configuration_age_us(relay.configuration_age->count());
   }
@@ -352,9 +358,9 @@
     to.set_daemons(relay.daemons);
     to.set_daemons_age_us(relay.daemons_age->count());
   }
-  to.set_complete_at(relay.complete_at.number);
-  to.set_complete_era(relay.complete_at.era);
-  to.set_heard_life(relay.heard_life);
+  to.set_complete_at(relay.complete_up_to.number);
+  to.set_complete_era(relay.complete_up_to.epoch);
+  to.set_heard_life(relay.heard_incarnation);
   to.set_heard_sequence(relay.heard_sequence);
   return datagram.SerializeAsString();
 }
@@ -370,11 +376,12 @@
     return serving::StoreRelayReceived{ReadRelay(from.relay())};
   }
   if (from.has_question() && !from.question().peer_address().empty()) {
-    return serving::PlaceQuestionReceived{ReadQuestion(from.question(), now)};
+    return serving::PlacementRequestReceived{
+        ReadQuestion(from.question(), now)};
   }
   if (from.has_answer() && !from.answer().peer_address().empty()) {
     auto answer = ReadAnswer(from.answer());
-    if (answer) return serving::PlaceAnswerReceived{std::move(*answer)};
+    if (answer) return serving::PlacementResponseReceived{std::move(*answer)};
   }
   return std::nullopt;
 }
