--- a/serving/include/scaleshed/serving/dispatch.h
+++ b/serving/include/scaleshed/serving/dispatch.h
@@ -11,41 +11,42 @@
 
 namespace scaleshed::serving {
 
-// Where there are many daemons, two of them place the prompts of all: the
-// placers. The others tell only these what they have at engines, and ask one of
-// them where a prompt goes. Any message may be lost, doubled or late; a placer
-// that is gone, frozen or wrong costs time, never a promise to a client, as the
-// daemon that asked checks and sends for itself.
+// In a large fleet, two daemons place the prompts of all: the placers. The
+// other daemons publish their active requests only to the placers, and request
+// a placement from one of them. Any message may be lost, duplicated or late. A
+// placer that is gone, frozen or wrong costs time, but breaks no promise to a
+// client, as the requesting daemon itself checks and sends the prompt.
 
-// Where does this prompt go? Asked again while no answer comes, and now and
-// then while the answer is to wait.
+// A daemon's request to a placer to place one prompt. The daemon repeats it
+// while no response comes, and at intervals while the prompt is queued.
 struct PlacementRequest {
-  std::string peer_address;       // who asks
-  std::uint64_t incarnation = 0;  // of that daemon
-  std::uint64_t id = 0;           // of its request, and of the work it will be
+  std::string peer_address;       // of the requesting daemon
+  std::uint64_t incarnation = 0;  // of the requesting daemon
+  std::uint64_t id = 0;           // of the request, later of its ActiveRequest
   std::uint64_t attempt_number = 0;  // rises with each attempt at the request
-  bool withdrawn = false;            // nobody waits for it any more
-  std::string request;               // the client's id of it, for the log
+  bool withdrawn = false;            // no placement is needed any more
+  std::string request;               // the client's request id, for the log
   std::string service;
   std::int64_t prompt_tokens = 0;
-  std::int64_t answer_tokens = 0;  // at most
+  std::int64_t answer_tokens = 0;  // upper limit
   Time arrived{};
-  Time due{};  // the objective
+  Time due{};  // objective time
   Time deadline{};
-  Duration max_event_gap{};            // that keeps its answer in time
-  std::vector<BackendId> excluded;     // not there again
-  std::vector<BackendId> backing_off;  // these want rest from who asks
-  std::uint64_t fingerprint = 0;       // zero: not told
-  // Who asks has seen that a server may have ended under it, and the placer may
-  // hear that later than this.
+  Duration max_event_gap{};            // the longest that meets the objective
+  std::vector<BackendId> excluded;     // not to be used for this prompt
+  std::vector<BackendId> backing_off;  // the requesting daemon backs off from
+  std::uint64_t fingerprint = 0;       // zero: unknown
+  // The requesting daemon has seen that a server may have crashed under this
+  // fingerprint. The placer may learn that only after this request.
   bool crash_suspected = false;
 };
 
+// What a placer did with a PlacementRequest.
 enum class PlacementOutcome {
   kPlaced,
-  kQueued,   // in line; the placement follows by itself
-  kRefused,  // can't be served before its deadline
-  kTooLarge,
+  kQueued,    // the placer sends another response once the prompt is placed
+  kRefused,   // it can't be served before its deadline
+  kTooLarge,  // it doesn't fit even into an empty pool
 };
 inline constexpr NameTable<PlacementOutcome, 4> kPlacementOutcomeNames{{
     {PlacementOutcome::kPlaced, "placed"},
@@ -54,18 +55,21 @@
     {PlacementOutcome::kTooLarge, "too_large"},
 }};
 
+// A placer's response to a PlacementRequest, matched by `incarnation`, `id` and
+// `attempt_number`. The requesting daemon ignores a response to an earlier
+// attempt.
 struct PlacementResponse {
-  std::string peer_address;       // who placed
-  std::uint64_t incarnation = 0;  // as in the question
+  std::string peer_address;       // of the placer
+  std::uint64_t incarnation = 0;  // as in the request
   std::uint64_t id = 0;
   std::uint64_t attempt_number = 0;
   PlacementOutcome outcome = PlacementOutcome::kQueued;
-  Placement placement;  // where it is
-  // Servers there whose limits the placer knows, or that these are over: it has
-  // counted the request against them.
+  Placement placement;  // if the outcome is kPlaced
+  // Backend servers of the placement whose rate limits the placer has counted
+  // the request against, or knows to be withdrawn.
   std::vector<BackendId> rate_limits_counted;
-  Shortage shortage{};     // what it waits for, or was refused for
-  Duration retry_after{};  // after a refusal
+  Shortage shortage{};     // why the prompt is queued or was refused
+  Duration retry_after{};  // if the outcome is kRefused
 };
 
 }  // namespace scaleshed::serving
--- a/serving/include/scaleshed/serving/placement.h
+++ b/serving/include/scaleshed/serving/placement.h
@@ -12,71 +12,80 @@
 
 namespace scaleshed::serving {
 
-// How long one engine with nothing else to do reads a prompt.
+// The time that one engine with nothing else to do takes to prefill a prompt.
 Duration PrefillTime(const EngineTiming& timing, std::int64_t prompt_tokens);
-// How long a pass lasts in which `writers` requests write, without reading.
+// The time in which an engine that decodes `writers` requests and prefills none
+// produces one event of each stream: `tokens_per_event` engine steps.
 Duration DecodeStepTime(const EngineTiming& timing, std::int64_t writers,
                         std::int64_t context_tokens);
 
-// A prompt that one engine reads within this is short: it is read whole, on an
-// engine with others of its kind. Half of the shortest objective of the sites.
+// A prompt that one engine prefills within this limit counts as short: a single
+// engine prefills all of it, beside other short prompts. The limit is half of
+// the shortest objective that the sites configure.
 inline constexpr Duration kShortPromptPrefillLimit = milliseconds(150);
 
-// How many of a pool's engines long prompts get beside so many short ones.
+// The number of a pool's engines that are left for long prompts while
+// `short_prompts` short ones are active.
 std::size_t EnginesForLongPrompts(const EngineTiming& timing,
                                   std::size_t engines,
                                   std::size_t short_prompts);
 
-// What is known of one engine of a pool.
+// The load of one engine of a pool, as placement sees it. BuildPoolView() fills
+// it from the active requests of all daemons; the caller sets `id` and
+// `suspected`.
 struct EngineView {
   BackendId id = 0;
-  bool suspected = false;
-  std::int64_t running = 0;        // requests that it has, reading or writing
-  std::int64_t short_running = 0;  // of these, those with short prompts
-  std::int64_t decoding = 0;       // of these, those past their first token
-  std::int64_t prefilling = 0;     // of these, those before it
-  std::int64_t helper_parts = 0;   // parts of other engines' prompts
-  Duration min_event_gap_limit =
-      Duration::max();         // that keeps one of them in time
-  Duration prefill_backlog{};  // of reading that it has before it
-  std::int64_t memory_used = 0;
-  std::int64_t context_tokens = 0;  // of those that write
+  bool suspected = false;          // gets no new work
+  std::int64_t running = 0;        // active requests, prefilling or decoding
+  std::int64_t short_running = 0;  // active requests with short prompts
+  std::int64_t decoding = 0;       // active requests past their first token
+  std::int64_t prefilling = 0;     // active requests before their first token
+  std::int64_t helper_parts = 0;   // parts of other engines' prompts to prefill
+  // The shortest of the event gaps that the active requests allow.
+  Duration min_event_gap_limit = Duration::max();
+  Duration prefill_backlog{};       // prefill work that is queued or under way
+  std::int64_t memory_used = 0;     // tokens
+  std::int64_t context_tokens = 0;  // of the decoding requests
 };
 
-// All engines of a pool that take work, by their ids, an order that is the same
-// for every daemon, with what `works` says they have.
+// Adds the load that the active requests in `works` cause to `engines`, which
+// must be sorted by id. The order by id is the same for every daemon, so that
+// all of them fill the same engines first.
 std::vector<EngineView> BuildPoolView(
     const EngineTiming& timing, std::vector<EngineView> engines,
     const std::vector<const ActiveRequest*>& works, Time now);
 
+// What PlacePrompt() needs to know of the prompt to place.
 struct PlacementQuery {
   std::int64_t prompt_tokens = 0;
-  std::int64_t answer_tokens = 0;
-  std::uint64_t tie_breaker = 0;  // decides among engines that are as good
-  // What is left of its objective, and of its time; none: not looked at.
+  std::int64_t answer_tokens = 0;  // upper limit
+  std::uint64_t tie_breaker = 0;   // chooses among equally good engines
+  // Time left until the objective and until the deadline; Duration::max(): not
+  // taken into account.
   Duration until_due = Duration::max();
   Duration time_left = Duration::max();
 };
 
+// The engine that serves a prompt and, for a long prompt, its prefill helpers.
 struct Placement {
   BackendId backend = 0;
   std::vector<BackendId> helpers;
-  // Tokens to be set aside at each helper; empty where none are needed. Zero:
-  // that helper only reads.
+  // Tokens of memory to reserve at each helper, in the order of `helpers`;
+  // empty if none are needed. A helper with zero only prefills.
   std::vector<std::int64_t> helper_tokens;
-  Duration first_token{};  // as expected
+  Duration first_token{};  // expected time until the first token
 };
-// Why there is no room now.
+// Why a prompt can't be placed now.
 enum class Shortage {
-  kQueueOrder,      // others that wait go first
-  kEngines,         // too few engines have little before them
-  kMemory,          // no engine has the memory
-  kCombinedMemory,  // nor have several together
-  kBackends,        // none takes work
-  kFreshness,       // who takes work is not known well enough
-  kCrashCheck,      // whether a server has ended under it is being asked
-  kRateLimit,  // those that could take it have named limits, which are used up
-  kBackoff,    // those that could take it want rest from who sends it
+  kQueueOrder,      // other waiting prompts go first
+  kEngines,         // too few engines have a short enough backlog
+  kMemory,          // no engine has enough free memory
+  kCombinedMemory,  // several engines together lack the free memory
+  kBackends,        // no backend server takes work
+  kFreshness,       // the list of backend servers is too old to be used
+  kCrashCheck,      // a crash check of its fingerprint is under way
+  kRateLimit,       // the rate limits of all eligible servers are used up
+  kBackoff,         // the sender backs off from all eligible servers
 };
 inline constexpr NameTable<Shortage, 9> kShortageNames{{
     {Shortage::kQueueOrder, "turn"},
@@ -90,18 +99,19 @@
     {Shortage::kBackoff, "rest"},
 }};
 
-// Room is expected later.
+// The prompt can't be placed now; capacity is expected later.
 struct NoCapacityNow {
   Shortage shortage = Shortage::kEngines;
 };
-// Not even an empty pool could take it.
+// The prompt doesn't fit even into an empty pool.
 struct TooLarge {};
+// What PlacePrompt() returns.
 using PlacementResult = std::variant<Placement, NoCapacityNow, TooLarge>;
 
-// Where a prompt goes. Short prompts fill the first engines of the order, one
-// after another; long ones are read in even parts by as many of the others as
-// bring the first token soonest, so that those who write short answers don't
-// pause for them.
+// Chooses the engines for a prompt. Short prompts fill the engines in the order
+// of the pool, one after another. Long prompts are split into equal parts,
+// which as many of the other engines prefill as bring the first token soonest,
+// so that streams of short prompts have no long event gaps because of them.
 PlacementResult PlacePrompt(const EngineTiming& timing,
                             const std::vector<EngineView>& pool,
                             const PlacementQuery& query);
--- a/serving/include/scaleshed/serving/start_meter.h
+++ b/serving/include/scaleshed/serving/start_meter.h
@@ -5,28 +5,30 @@
 
 namespace scaleshed::serving {
 
-// Meters the requests that one backend server gets against a rate: a token
-// bucket that holds one start, or a short time's worth of a high rate. It
-// begins empty, as whoever begins to meter doesn't know what was just sent.
-// Starts by others are taken as they are heard of, beyond what the bucket holds
-// too: they are owed, so that the sum keeps to the rate.
+// Limits the rate of requests sent to one backend server by all daemons: a
+// token bucket whose size is one token, or a fraction of a second's worth of a
+// high rate. The bucket starts empty, as the requests that were sent just
+// before are unknown. TakeToken() is called for each request, also when another
+// daemon's snapshot shows one. It may take the bucket below zero: the deficit
+// delays later requests, so that the sum of all daemons keeps to the rate.
 class StartRateLimiter {
  public:
   StartRateLimiter() = default;
   explicit StartRateLimiter(Time now) : updated_at_(now) {}
 
-  // `per_second`: over zero.
+  // `per_second` must be above zero.
   void SetRate(Time now, double per_second);
   void TakeToken(Time now);
   bool HasToken(Time now) const { return TokensAt(now) >= 1; }
-  // Until there is one, if nobody takes it.
+  // The time until a token is available if nothing takes one before; zero if
+  // one is available now.
   Duration TimeUntilToken(Time now) const;
 
  private:
   double TokensAt(Time now) const;
 
   double per_second_ = 0;
-  double tokens_ = 0;  // at `at_`; below zero: owed
+  double tokens_ = 0;  // at `updated_at_`; below zero: token deficit
   Time updated_at_{};
 };
 
--- a/serving/include/scaleshed/serving/work.h
+++ b/serving/include/scaleshed/serving/work.h
@@ -11,54 +11,58 @@
 
 namespace scaleshed::serving {
 
-// A backend server's life, as daemons name it to each other: a hash of the
-// instance id under which it is listed.
+// Names a backend incarnation, one run of a backend server's process, between
+// daemons: a hash of the instance id under which it is listed.
 using BackendId = std::uint64_t;
 
-// One request that a daemon has at a backend server. Every daemon knows those
-// of all, so that each sees what an engine has before it.
+// A request that a daemon has at a backend server. Daemons publish their active
+// requests to those who place prompts, so that these know the load of each
+// engine.
 struct ActiveRequest {
-  std::uint64_t id = 0;  // of one daemon's life
+  std::uint64_t id = 0;  // unique within a daemon's incarnation
   BackendId backend = 0;
-  // Engines that read parts of the prompt besides `backend`.
+  // The prefill helpers: engines besides `backend` that prefill a part of the
+  // prompt.
   std::vector<BackendId> helpers;
   std::int64_t prompt_tokens = 0;
-  std::int64_t answer_tokens = 0;  // at most
-  Time started_at{};               // on the clock of the daemon that reads it
-  bool decoding = false;           // the first event has come
-  Duration max_event_gap{};        // that keeps its answer in time
-  // Tokens of its memory that lie at helpers, in their order.
+  std::int64_t answer_tokens = 0;  // upper limit
+  Time started_at{};               // on the receiving daemon's clock
+  bool decoding = false;           // past its first token
+  Duration max_event_gap{};        // the longest that meets the objective
+  // Tokens of memory reserved at each helper, in the order of `helpers`.
   std::vector<std::int64_t> helper_tokens;
-  std::uint64_t fingerprint = 0;  // of its request; zero: not told
+  std::uint64_t fingerprint = 0;  // zero: unknown
   bool operator==(const ActiveRequest&) const = default;
 };
 
-// A request that waits for engines or for a limit, for one order over all
-// daemons.
+// A request that waits for engines or for a rate limit. Daemons publish these
+// to order waiting requests over all daemons.
 struct WaitingRequest {
   std::uint64_t id = 0;
   std::string service;
-  Time queue_key{};                // lower ones go first
-  Duration prefill_time{};         // what its prompt takes on one engine
-  bool awaits_rate_limit = false;  // of servers whose limits are used up
+  Time queue_key{};                // lower keys go first
+  Duration prefill_time{};         // of the prompt on one engine
+  bool awaits_rate_limit = false;  // the servers' rate limits are used up
   bool operator==(const WaitingRequest&) const = default;
 };
 
-// What a daemon has seen go wrong at a backend server.
+// A backend server that a daemon keeps out of new work until a time, because it
+// failed or was slow.
 struct Suspicion {
   BackendId backend = 0;
   Time until{};
-  bool failed = false;  // not only slow
+  bool failed = false;  // false: it was only slow
   bool operator==(const Suspicion&) const = default;
 };
 
-// A content, or a life, as it stands in logs, the store and for operators;
-// empty: zero.
+// The text form of a request fingerprint or of a BackendId in logs, in the
+// store and for operators; empty for zero.
 std::string FingerprintText(std::uint64_t content);
 
-// A life of a backend server that ended while it had a request of that content
-// (RequestFacts::content) in work. `forgiven`: a whole answer or an operator
-// has shown since that the content is not the cause.
+// A backend incarnation that ended while it ran a request with the given
+// fingerprint (RequestMetadata::fingerprint), which doesn't prove that the
+// request was the cause. `cleared` is set once a complete response or an
+// operator has shown that it wasn't.
 struct Crash {
   std::uint64_t fingerprint = 0;
   BackendId incarnation = 0;
@@ -66,50 +70,54 @@
   bool operator==(const Crash&) const = default;
 };
 
-// What a life of a backend server last named as the requests a second that it
-// takes from all daemons together; nothing: it names no limit any more.
+// The rate limit that a backend incarnation last advertised: the requests per
+// second that it takes from all daemons together. No value: it advertises no
+// limit any more.
 struct ServerLimit {
   BackendId backend = 0;
   std::optional<double> per_second;
   Time received_at{};
 };
 
-// What a daemon tells the others about itself: now and then all of it, at each
-// change only what changed. One that is lost does harm only until the next
-// whole one.
+// What a daemon publishes about itself: a full snapshot at intervals, and an
+// incremental one at each change. The effect of a lost snapshot lasts only
+// until the next full one.
 struct LoadSnapshot {
-  std::string instance;      // the daemon's address for clients
-  std::string peer_address;  // and for these messages
+  std::string instance;      // address for clients
+  std::string peer_address;  // address for messages between daemons
   std::string data_centre;
-  std::uint64_t incarnation = 0;  // rises with each start
-  std::uint64_t sequence = 0;     // rises within a life
-  bool serving = false;           // clients may be sent to it
-  bool polls_store = false;       // may put the questions for its data centre
-  // One of the few of its data centre that all daemons hear, of which the
-  // placers are.
+  std::uint64_t incarnation = 0;  // of the daemon; rises with each start
+  std::uint64_t sequence = 0;     // rises within the incarnation
+  bool serving = false;           // clients may be directed to the daemon
+  bool polls_store = false;       // may poll the store for its data centre
+  // The daemon is a hub: one of the few of its data centre that all daemons
+  // send heartbeats to, and from which the placers are chosen.
   bool is_hub = false;
-  // It places prompts of others: whoever hears it tells it what it has.
+  // The daemon places prompts of others: daemons that receive this publish
+  // their active requests to it.
   bool places = false;
-  double capacity = 1;  // of its machine; more of it takes on duties first
-  ConfigurationStamp configuration;  // that it has
-  std::uint64_t epoch = 0;           // of the store, as last heard
-  // For so long it takes nothing of the store for proof that the configuration
-  // is the newest, as a restore has just shown.
+  double capacity = 1;  // of the machine; the strongest take on duties first
+  ConfigurationStamp configuration;  // the one in use
+  std::uint64_t epoch = 0;           // store epoch, as last seen
+  // For this long after a restore of the store, the daemon accepts no response
+  // of the store as confirmation that its configuration is the newest.
   Duration reconciling_for{};
-  // Of a partial one: `works` are those that began or changed, and `ended`
-  // those that are over since the last one; all else is whole in each, but for
-  // `limits` and `leaving`.
+  // In an incremental snapshot, `active_requests` are those that began or
+  // changed since the last snapshot, and `finished_ids` those that finished.
+  // All other fields are complete in each snapshot, except `limits` and
+  // `leaving`.
   bool incremental = false;
   std::vector<ActiveRequest> active_requests;
   std::vector<std::uint64_t> finished_ids;
   std::vector<WaitingRequest> waiting;
   std::vector<Suspicion> suspicions;
-  std::vector<Crash> crashes;  // news of the last seconds
-  // Of a partial one: news only. `leaving`: lives of backend servers that said
-  // that they leave, to it or to one that told it.
+  std::vector<Crash> crashes;  // of the last seconds
+  // `limits` and `leaving` have only recent changes in an incremental snapshot.
+  // `leaving` are backend incarnations that announced to this daemon, or to one
+  // that published it, that they are shutting down.
   std::vector<ServerLimit> limits;
   std::vector<BackendId> leaving;
-  // Contents of which it asks right now whether one more has ended under them.
+  // Request fingerprints for which this daemon has a crash check under way.
   std::vector<std::uint64_t> crash_checks;
 };
 
--- a/serving/src/internal/pool.h
+++ b/serving/src/internal/pool.h
@@ -7,21 +7,24 @@
 
 #include "scaleshed/serving/placement.h"
 
-// What the placing of short and of long prompts shares.
+// Limits that the placement of short and of long prompts share.
 namespace scaleshed::serving::internal {
 
-// Engines that stay open to long prompts under any number of short ones.
+// Engines that stay available to long prompts however many short ones there
+// are.
 inline constexpr std::size_t kMinLongPromptEngines = 4;
 
-// Helpers that one request may name, as the engines' protocol says.
+// The engine protocol's limit on the prefill helpers of one request.
 inline constexpr std::size_t kMaxHelpersPerRequest = 16;
 
-// Requests that an engine gets before the next one in the order is used.
+// The number of requests that an engine gets before the next one in the order
+// of the pool is used.
 std::int64_t RequestsBeforeNextEngine(const EngineTiming& timing);
-// Tokens of an engine's memory that are handed out.
+// The tokens of an engine's memory that placement may use.
 std::int64_t UsableMemoryTokens(const EngineTiming& timing);
 
-// long_placement.cc
+// Places a prompt whose prefill takes longer than kShortPromptPrefillLimit.
+// Defined in long_placement.cc.
 PlacementResult PlaceLongPrompt(const EngineTiming& timing,
                                 const std::vector<EngineView>& pool,
                                 const PlacementQuery& query);
