--- a/serving/src/deciding.cc
+++ b/serving/src/deciding.cc
@@ -9,66 +9,69 @@
 namespace {
 
 // After a refusal for rests whose ends the daemon that places doesn't know.
-constexpr Duration kRestAgain = milliseconds(500);
+constexpr Duration kBackoffRetryAfter = milliseconds(500);
 
 // An engine that is back after a suspicion gets one short prompt at a time, and
 // after two in a row no part of a long one: most are suspected once, for an
 // answer that was cut, and engines that only read for long prompts have no
 // short one to show that they work.
-void KeepProbations(const State& state, const PlacementDemand& demand,
-                    const std::vector<const Backend*>& open,
-                    std::vector<EngineView>& pool) {
+void LimitEnginesOnProbation(const State& state, const PlacementDemand& demand,
+                             const std::vector<const Backend*>& open,
+                             std::vector<EngineView>& pool) {
   for (std::size_t i = 0; i < pool.size(); ++i) {
     if (!IsOnProbation(state, *open[i])) continue;
-    const bool has_one = pool[i].prefilling > 0;
+    const bool is_prefilling = pool[i].prefilling > 0;
     const bool is_long = demand.prefill_time > kShortPromptPrefillLimit;
-    const bool barred = is_long ? open[i]->consecutive_suspicions > 0 : has_one;
-    if (barred) pool[i].suspected = true;
+    const bool is_excluded =
+        is_long ? open[i]->consecutive_suspicions > 0 : is_prefilling;
+    if (is_excluded) pool[i].suspected = true;
   }
 }
 
 // An engine that has what ended two is left to it.
-void KeepAway(const State& state, const PlacementDemand& demand,
-              const std::vector<const ActiveRequest*>& works,
-              std::set<BackendId>& suspects) {
-  constexpr std::size_t kEndsToKeepFrom = 2;
+void AvoidEnginesWithCrashingRequests(
+    const State& state, const PlacementDemand& demand,
+    const std::vector<const ActiveRequest*>& active_requests,
+    std::set<BackendId>& suspected) {
+  constexpr std::size_t kMinCrashesToAvoid = 2;
   if (state.quarantine.empty()) return;
-  for (const ActiveRequest* it : works) {
-    const bool keep =
+  for (const ActiveRequest* it : active_requests) {
+    const bool avoid =
         it->fingerprint != demand.fingerprint &&
-        state.quarantine.CrashCount(it->fingerprint) >= kEndsToKeepFrom;
-    if (keep) suspects.insert(it->backend);
+        state.quarantine.CrashCount(it->fingerprint) >= kMinCrashesToAvoid;
+    if (avoid) suspected.insert(it->backend);
   }
 }
 
 PlacementResult PlacePrompt(State& state, const PlacementDemand& demand,
                             const EngineTiming& timing,
                             const std::vector<const Backend*>& open) {
-  const auto works = AllActiveRequests(state);
-  EndProbations(state, works);
-  auto suspects = SuspectedBackends(state);
-  KeepAway(state, demand, works, suspects);
+  const auto active_requests = AllActiveRequests(state);
+  EndProbations(state, active_requests);
+  auto suspected = SuspectedBackends(state);
+  AvoidEnginesWithCrashingRequests(state, demand, active_requests, suspected);
   std::vector<EngineView> engines;
   engines.reserve(open.size());
   for (const Backend* it : open) {
     engines.push_back({.id = it->id,
-                       .suspected = suspects.contains(it->id) ||
+                       .suspected = suspected.contains(it->id) ||
                                     demand.excluded.contains(it->id)});
   }
-  const bool all_suspect =
+  const bool all_suspected =
       std::all_of(engines.begin(), engines.end(),
                   [](const EngineView& it) { return it.suspected; });
-  if (all_suspect) {
+  if (all_suspected) {
     for (EngineView& it : engines) it.suspected = false;
   }
-  auto pool = BuildPoolView(timing, std::move(engines), works, state.now);
-  if (!all_suspect) KeepProbations(state, demand, open, pool);
+  auto pool =
+      BuildPoolView(timing, std::move(engines), active_requests, state.now);
+  if (!all_suspected) LimitEnginesOnProbation(state, demand, open, pool);
   // One that does not hear what others have begins anywhere, or all that place
   // alone would fill the same engines.
   if (!ReceivesAllActiveRequests(state) && !pool.empty()) {
-    const auto first =
+    const auto first_engine =
         static_cast<std::ptrdiff_t>(state.random() % pool.size());
-    std::rotate(pool.begin(), pool.begin() + first, pool.end());
+    std::rotate(pool.begin(), pool.begin() + first_engine, pool.end());
   }
   return PlacePrompt(timing, pool,
                      {.prompt_tokens = demand.prompt_tokens,
@@ -78,35 +81,37 @@
                       .time_left = demand.deadline - state.now});
 }
 
-std::size_t WorksAt(const std::vector<const ActiveRequest*>& works,
-                    BackendId id) {
+std::size_t ActiveRequestsAt(
+    const std::vector<const ActiveRequest*>& active_requests, BackendId id) {
   return static_cast<std::size_t>(std::count_if(
-      works.begin(), works.end(),
+      active_requests.begin(), active_requests.end(),
       [&](const ActiveRequest* it) { return it->backend == id; }));
 }
 
 // The least busy backend server of a plain service; those in the data centre
 // of the daemon that sends first among equals.
-PlacementDecision PlacePlain(State& state, const PlacementDemand& demand,
-                             const std::vector<const Backend*>& open) {
-  const auto works = AllActiveRequests(state);
-  const auto suspects = SuspectedBackends(state);
+PlacementDecision PlacePlainRequest(State& state, const PlacementDemand& demand,
+                                    const std::vector<const Backend*>& open) {
+  const auto active_requests = AllActiveRequests(state);
+  const auto suspected = SuspectedBackends(state);
   const Backend* best = nullptr;
-  double least = 0;
+  double least_cost = 0;
   for (const Backend* it : open) {
     const auto slots = std::max<std::int64_t>(it->server.slots, 1);
-    double cost = static_cast<double>(WorksAt(works, it->id)) /
-                  static_cast<double>(slots);
-    constexpr double kAvoid = 100;
-    constexpr double kElsewhereCost = 0.05;
-    constexpr double kTieBreak = 1e-4;
-    if (suspects.contains(it->id)) cost += kAvoid;
-    if (demand.excluded.contains(it->id)) cost += kAvoid / 2;
-    if (it->server.data_centre != demand.data_centre) cost += kElsewhereCost;
-    cost += kTieBreak * static_cast<double>(state.random() % 100);
-    if (best == nullptr || cost < least) {
+    double cost =
+        static_cast<double>(ActiveRequestsAt(active_requests, it->id)) /
+        static_cast<double>(slots);
+    constexpr double kSuspectedCost = 100;
+    constexpr double kOtherDataCentreCost = 0.05;
+    constexpr double kTieBreakStep = 1e-4;
+    if (suspected.contains(it->id)) cost += kSuspectedCost;
+    if (demand.excluded.contains(it->id)) cost += kSuspectedCost / 2;
+    if (it->server.data_centre != demand.data_centre)
+      cost += kOtherDataCentreCost;
+    cost += kTieBreakStep * static_cast<double>(state.random() % 100);
+    if (best == nullptr || cost < least_cost) {
       best = it;
-      least = cost;
+      least_cost = cost;
     }
   }
   if (best == nullptr) return NoCapacityNow{Shortage::kBackends};
@@ -115,8 +120,8 @@
 }
 
 // Those that don't want rest from the daemon that sends it.
-std::vector<const Backend*> AwakeOf(const PlacementDemand& demand,
-                                    std::vector<const Backend*> open) {
+std::vector<const Backend*> WithoutBackingOff(
+    const PlacementDemand& demand, std::vector<const Backend*> open) {
   std::erase_if(open, [&](const Backend* it) {
     return demand.backing_off.contains(it->id);
   });
@@ -125,19 +130,19 @@
 
 // Where it goes, or that it waits, because of its content; nothing: wherever is
 // best. `timing`: nullptr for a plain service.
-std::optional<PlacementDecision> PlaceByContent(
+std::optional<PlacementDecision> PlaceByFingerprint(
     State& state, const PlacementDemand& demand, const EngineTiming* timing,
     const std::vector<const Backend*>& open) {
-  const bool plain = timing == nullptr;
+  const bool is_plain = timing == nullptr;
   const std::int64_t tokens = demand.prompt_tokens + demand.answer_tokens;
-  if (!plain && tokens > UsableMemoryTokens(*timing)) return std::nullopt;
-  const Isolation with = FindIsolation(state, demand, open);
-  if (with.wait) return NoCapacityNow{Shortage::kCrashCheck};
-  if (with.backend == nullptr) return std::nullopt;
-  RecordIsolation(state, demand, with);
-  return Placement{
-      .backend = with.backend->id,
-      .first_token = plain ? demand.due - demand.arrived : demand.prefill_time};
+  if (!is_plain && tokens > UsableMemoryTokens(*timing)) return std::nullopt;
+  const Isolation isolation = FindIsolation(state, demand, open);
+  if (isolation.wait) return NoCapacityNow{Shortage::kCrashCheck};
+  if (isolation.backend == nullptr) return std::nullopt;
+  RecordIsolation(state, demand, isolation);
+  return Placement{.backend = isolation.backend->id,
+                   .first_token = is_plain ? demand.due - demand.arrived
+                                           : demand.prefill_time};
 }
 
 }  // namespace
@@ -179,23 +184,24 @@
   const EngineTiming* timing = TimingOf(state, demand.service);
   const auto all = OpenBackends(state, demand.service);
   if (all.empty()) return NoCapacityNow{Shortage::kBackends};
-  const auto awake = AwakeOf(demand, all);
-  if (awake.empty()) {
-    return DeadlineUnreachable{.retry_after = kRestAgain,
+  const auto available = WithoutBackingOff(demand, all);
+  if (available.empty()) {
+    return DeadlineUnreachable{.retry_after = kBackoffRetryAfter,
                                .shortage = Shortage::kBackoff};
   }
-  const auto open = BackendsWithinRateLimit(state, demand, awake);
-  if (open.empty()) return WaitForRateLimit(state, demand, awake);
-  if (const auto by_content = PlaceByContent(state, demand, timing, open)) {
-    return *by_content;
+  const auto open = BackendsWithinRateLimit(state, demand, available);
+  if (open.empty()) return WaitForRateLimit(state, demand, available);
+  if (const auto by_fingerprint =
+          PlaceByFingerprint(state, demand, timing, open)) {
+    return *by_fingerprint;
   }
-  if (timing == nullptr) return PlacePlain(state, demand, open);
+  if (timing == nullptr) return PlacePlainRequest(state, demand, open);
   if (demand.prefill_time > kShortPromptPrefillLimit) {
-    const QueueEstimate outlook =
+    const QueueEstimate estimate =
         EstimateQueue(state, demand, *timing, open.size());
-    if (const auto given_up = CheckDeadline(state, demand, outlook))
-      return *given_up;
-    if (outlook.ahead > 0) return NoCapacityNow{Shortage::kQueueOrder};
+    if (const auto unreachable = CheckDeadline(state, demand, estimate))
+      return *unreachable;
+    if (estimate.ahead > 0) return NoCapacityNow{Shortage::kQueueOrder};
   }
   return std::visit([](const auto& it) -> PlacementDecision { return it; },
                     PlacePrompt(state, demand, *timing, open));
--- a/serving/src/dispatch.cc
+++ b/serving/src/dispatch.cc
@@ -12,27 +12,27 @@
 
 // A placer answers within some ms; then the next one is asked, at last nobody.
 // Short, as a first token in time leaves little: 50 ms for both.
-constexpr Duration kAnswerWithin = milliseconds(25);
+constexpr Duration kPlacerTimeout = milliseconds(25);
 // Those that stand in are asked after that wait: 100 ms for all, of 300 to the
 // first token of a short prompt.
-constexpr Duration kStandInWithin = milliseconds(12);
+constexpr Duration kFallbackPlacerTimeout = milliseconds(12);
 // One that was silent is passed over for so long: less than until it is known
 // to be gone, many times the wait for it.
-constexpr Duration kDoubtFor = milliseconds(500);
+constexpr Duration kPlacerSuspicionDuration = milliseconds(500);
 // Until the other hubs know, by their silence, that the placers are gone.
-constexpr Duration kStandInFor = milliseconds(2500);
+constexpr Duration kFallbackDuration = milliseconds(2500);
 // Those who wait ask again so often, and are forgotten when they don't.
-constexpr Duration kAskAgain = milliseconds(150);
-constexpr Duration kForgetAfter = milliseconds(500);
+constexpr Duration kPlacementRepeatInterval = milliseconds(150);
+constexpr Duration kPlacementRequestExpiry = milliseconds(500);
 // What was placed and is not told by then is not begun: an answer's way, the
 // order for memory, the message about it.
-constexpr Duration kToldWithin = milliseconds(600);
+constexpr Duration kPublicationTimeout = milliseconds(600);
 // Between two looks for room at the head of the line, and for the outlook of
 // those behind it.
-constexpr Duration kLookAgain = milliseconds(10);
-constexpr Duration kOutlookAgain = milliseconds(100);
+constexpr Duration kPlacementRetryInterval = milliseconds(10);
+constexpr Duration kQueueEstimateInterval = milliseconds(100);
 
-using AskedKey = std::pair<std::string, std::uint64_t>;
+using RemotePlacementKey = std::pair<std::string, std::uint64_t>;
 
 // Placers that are not in doubt, then those that stand in for them, of which
 // this daemon may be one.
@@ -40,29 +40,30 @@
   const PlacementDuties& dispatch = state.dispatch;
   for (const auto* list : {&dispatch.placers, &dispatch.fallback_placers}) {
     for (const std::string& it : *list) {
-      const auto doubted = dispatch.placers_suspected_until.find(it);
-      const bool sound = doubted == dispatch.placers_suspected_until.end() ||
-                         doubted->second <= state.now;
-      if (sound) return it;
+      const auto suspected = dispatch.placers_suspected_until.find(it);
+      const bool usable = suspected == dispatch.placers_suspected_until.end() ||
+                          suspected->second <= state.now;
+      if (usable) return it;
     }
   }
   return "";
 }
 
 // A daemon that found no placer asks this one.
-void StandIn(State& state) {
+void BecomeFallbackPlacer(State& state) {
   PlacementDuties& dispatch = state.dispatch;
   if (ReceivesAllActiveRequests(state) || !dispatch.is_hub) return;
   Log(state, "stands_in",
       {{"placers", std::to_string(dispatch.placers.size())}});
-  dispatch.fallback_until = state.now + kStandInFor;
+  dispatch.fallback_until = state.now + kFallbackDuration;
   // Those that don't tell it that they live are told with the next whole one.
   for (auto& [peer, due] : state.full_snapshot_due) due = state.now;
   state.has_unpublished_changes = true;
 }
 
-PlacementRequest QuestionFor(const State& state, const Request& request) {
-  const auto resting = ServersBackingOff(state);
+PlacementRequest PlacementRequestFor(const State& state,
+                                     const Request& request) {
+  const auto backing_off = ServersBackingOff(state);
   return {
       .peer_address = state.options.peer_address,
       .incarnation = state.options.incarnation,
@@ -77,13 +78,13 @@
       .deadline = request.deadline,
       .max_event_gap = request.route.max_event_gap,
       .excluded = {request.excluded.begin(), request.excluded.end()},
-      .backing_off = {resting.begin(), resting.end()},
+      .backing_off = {backing_off.begin(), backing_off.end()},
       .fingerprint = request.metadata.fingerprint,
       .crash_suspected = IsCrashSuspected(state, request.metadata.fingerprint)};
 }
 
-PlacementDemand DemandOf(const State& state, const RemotePlacement& asked) {
-  const PlacementRequest& it = asked.request;
+PlacementDemand DemandOf(const State& state, const RemotePlacement& remote) {
+  const PlacementRequest& it = remote.request;
   return {.id = it.request,
           .service = it.service,
           .prompt_tokens = it.prompt_tokens,
@@ -91,30 +92,30 @@
           .arrived = it.arrived,
           .due = it.due,
           .deadline = it.deadline,
-          .prefill_time = asked.prefill_time,
+          .prefill_time = remote.prefill_time,
           .excluded = {it.excluded.begin(), it.excluded.end()},
           .fingerprint = it.fingerprint,
           .crash_suspected = it.crash_suspected,
           .data_centre = DataCentreOf(state, it.peer_address),
-          .awaits_rate_limit = asked.waits_for == Shortage::kRateLimit,
+          .awaits_rate_limit = remote.waits_for == Shortage::kRateLimit,
           .backing_off = {it.backing_off.begin(), it.backing_off.end()}};
 }
 
-void Reply(State& state, const RemotePlacement& asked, PlacementOutcome outcome,
-           Duration retry_after = {}) {
-  const PlacementRequest& question = asked.request;
-  PlacementResponse answer{
+void Respond(State& state, const RemotePlacement& remote,
+             PlacementOutcome outcome, Duration retry_after = {}) {
+  const PlacementRequest& request = remote.request;
+  PlacementResponse response{
       .peer_address = state.options.peer_address,
-      .incarnation = question.incarnation,
-      .id = question.id,
-      .attempt_number = question.attempt_number,
+      .incarnation = request.incarnation,
+      .id = request.id,
+      .attempt_number = request.attempt_number,
       .outcome = outcome,
-      .placement = asked.placement.value_or(Placement{}),
-      .rate_limits_counted = asked.rate_limits_counted,
-      .shortage = asked.waits_for.value_or(Shortage::kQueueOrder),
+      .placement = remote.placement.value_or(Placement{}),
+      .rate_limits_counted = remote.rate_limits_counted,
+      .shortage = remote.waits_for.value_or(Shortage::kQueueOrder),
       .retry_after = retry_after};
-  state.effects.emplace_back(RespondToPlacement{.to = question.peer_address,
-                                                .response = std::move(answer)});
+  state.effects.emplace_back(RespondToPlacement{
+      .to = request.peer_address, .response = std::move(response)});
 }
 
 std::string NameOf(State& state, BackendId id) {
@@ -122,80 +123,82 @@
   return backend == nullptr ? "" : backend->server.id;
 }
 
-void NotePlaced(State& state, RemotePlacement& asked, const Placement& placed) {
-  const PlacementRequest& question = asked.request;
-  asked.placement = placed;
-  asked.rate_limits_counted = KnownRateLimitsAt(state, placed);
-  RecordStart(state, placed);
-  asked.placed_at = state.now;
-  asked.active_request = {.id = question.id,
-                          .backend = placed.backend,
-                          .helpers = placed.helpers,
-                          .prompt_tokens = question.prompt_tokens,
-                          .answer_tokens = question.answer_tokens,
-                          .started_at = state.now,
-                          .decoding = false,
-                          .max_event_gap = question.max_event_gap,
-                          .helper_tokens = placed.helper_tokens,
-                          .fingerprint = question.fingerprint};
+void RecordPlacement(State& state, RemotePlacement& remote,
+                     const Placement& placement) {
+  const PlacementRequest& request = remote.request;
+  remote.placement = placement;
+  remote.rate_limits_counted = KnownRateLimitsAt(state, placement);
+  RecordStart(state, placement);
+  remote.placed_at = state.now;
+  remote.active_request = {.id = request.id,
+                           .backend = placement.backend,
+                           .helpers = placement.helpers,
+                           .prompt_tokens = request.prompt_tokens,
+                           .answer_tokens = request.answer_tokens,
+                           .started_at = state.now,
+                           .decoding = false,
+                           .max_event_gap = request.max_event_gap,
+                           .helper_tokens = placement.helper_tokens,
+                           .fingerprint = request.fingerprint};
   state.effects.emplace_back(IncrementCounter{Counter::kPlacedForOthers});
   Log(state, "placed",
-      {{"request", question.request},
-       {"for", question.peer_address},
-       {"backend", NameOf(state, placed.backend)},
-       {"helpers", std::to_string(placed.helpers.size())},
-       {"prompt", std::to_string(question.prompt_tokens)},
-       {"after_ms", Millis(state.now - question.arrived)},
-       {"expected_ms", Millis(placed.first_token)},
+      {{"request", request.request},
+       {"for", request.peer_address},
+       {"backend", NameOf(state, placement.backend)},
+       {"helpers", std::to_string(placement.helpers.size())},
+       {"prompt", std::to_string(request.prompt_tokens)},
+       {"after_ms", Millis(state.now - request.arrived)},
+       {"expected_ms", Millis(placement.first_token)},
        {"asked", std::to_string(state.dispatch.remote_placements.size())}},
       /*routine=*/true);
 }
 
 // Whether it still waits for a place.
-bool Look(State& state, RemotePlacement& asked) {
-  const PlacementDecision verdict =
-      DecidePlacement(state, DemandOf(state, asked));
-  return std::visit(Overloaded{[&](const Placement& it) {
-                                 NotePlaced(state, asked, it);
-                                 Reply(state, asked, PlacementOutcome::kPlaced);
-                                 return false;
-                               },
-                               [&](const NoCapacityNow& it) {
-                                 asked.waits_for = it.shortage;
-                                 return true;
-                               },
-                               [&](const TooLarge&) {
-                                 Reply(state, asked,
-                                       PlacementOutcome::kTooLarge);
-                                 return false;
-                               },
-                               [&](const DeadlineUnreachable& it) {
-                                 asked.waits_for = it.shortage;
-                                 Reply(state, asked, PlacementOutcome::kRefused,
-                                       it.retry_after);
-                                 return false;
-                               }},
-                    verdict);
+bool TryPlace(State& state, RemotePlacement& remote) {
+  const PlacementDecision decision =
+      DecidePlacement(state, DemandOf(state, remote));
+  return std::visit(
+      Overloaded{[&](const Placement& it) {
+                   RecordPlacement(state, remote, it);
+                   Respond(state, remote, PlacementOutcome::kPlaced);
+                   return false;
+                 },
+                 [&](const NoCapacityNow& it) {
+                   remote.waits_for = it.shortage;
+                   return true;
+                 },
+                 [&](const TooLarge&) {
+                   Respond(state, remote, PlacementOutcome::kTooLarge);
+                   return false;
+                 },
+                 [&](const DeadlineUnreachable& it) {
+                   remote.waits_for = it.shortage;
+                   Respond(state, remote, PlacementOutcome::kRefused,
+                           it.retry_after);
+                   return false;
+                 }},
+      decision);
 }
 
 // The placer doesn't know of limits that this daemon knows: it is told, and
 // asked as for another attempt.
-void AskAnew(State& state, Request& request,
-             const std::vector<BackendId>& lives) {
+void RequestAgainAfterRateLimits(State& state, Request& request,
+                                 const std::vector<BackendId>& backends) {
   Log(state, "placer_unaware",
       {{"request", request.metadata.id},
        {"placer", request.placer},
-       {"limits", std::to_string(lives.size())}});
-  RepublishRateLimits(state, lives);
+       {"limits", std::to_string(backends.size())}});
+  RepublishRateLimits(state, backends);
   ++request.attempt_number;
-  QueueRequest(state, request, kLookAgain, Shortage::kRateLimit);
+  QueueRequest(state, request, kPlacementRetryInterval, Shortage::kRateLimit);
 }
 
-void ForgetAsked(State& state) {
+void DropExpiredPlacements(State& state) {
   std::erase_if(state.dispatch.remote_placements, [&](const auto& it) {
-    const RemotePlacement& asked = it.second;
-    return asked.placement ? state.now - asked.placed_at > kToldWithin
-                           : state.now - asked.last_requested_at > kForgetAfter;
+    const RemotePlacement& remote = it.second;
+    return remote.placement
+               ? state.now - remote.placed_at > kPublicationTimeout
+               : state.now - remote.last_requested_at > kPlacementRequestExpiry;
   });
 }
 
@@ -204,7 +207,8 @@
 void RequestRemotePlacement(State& state, Request& request) {
   PlacementDuties& dispatch = state.dispatch;
   if (!request.placer.empty() && !request.placer_responded) {
-    dispatch.placers_suspected_until[request.placer] = state.now + kDoubtFor;
+    dispatch.placers_suspected_until[request.placer] =
+        state.now + kPlacerSuspicionDuration;
     state.effects.emplace_back(IncrementCounter{Counter::kPlacersTimedOut});
     Log(state, "placer_silent",
         {{"request", request.metadata.id}, {"placer", request.placer}});
@@ -214,7 +218,7 @@
   request.placer_responded = false;
   if (request.placer == state.options.peer_address) {
     request.placer.clear();
-    StandIn(state);
+    BecomeFallbackPlacer(state);
     PlaceLocally(state, request);
     return;
   }
@@ -231,21 +235,21 @@
     return;
   }
   request.retry_at =
-      state.now +
-      (IsPlacer(state, request.placer) ? kAnswerWithin : kStandInWithin);
+      state.now + (IsPlacer(state, request.placer) ? kPlacerTimeout
+                                                   : kFallbackPlacerTimeout);
   dispatch.response_due = std::min(
       dispatch.response_due.value_or(request.retry_at), request.retry_at);
   state.effects.emplace_back(IncrementCounter{Counter::kPlacementsRequested});
   state.effects.emplace_back(RequestPlacement{
-      .to = request.placer, .request = QuestionFor(state, request)});
+      .to = request.placer, .request = PlacementRequestFor(state, request)});
 }
 
 void WithdrawPlacement(State& state, const Request& request) {
   if (request.phase != Phase::kWaiting || request.placer.empty()) return;
-  PlacementRequest question = QuestionFor(state, request);
-  question.withdrawn = true;
+  PlacementRequest withdrawal = PlacementRequestFor(state, request);
+  withdrawal.withdrawn = true;
   state.effects.emplace_back(
-      RequestPlacement{.to = request.placer, .request = std::move(question)});
+      RequestPlacement{.to = request.placer, .request = std::move(withdrawal)});
 }
 
 void OnPlacementResponse(State& state, const PlacementResponse& answer) {
@@ -263,15 +267,15 @@
   request.placer_responded = true;
   switch (answer.outcome) {
     case PlacementOutcome::kPlaced:
-      if (const auto lives = UncountedRateLimitsAt(state, answer);
-          !lives.empty()) {
-        AskAnew(state, request, lives);
+      if (const auto backends = UncountedRateLimitsAt(state, answer);
+          !backends.empty()) {
+        RequestAgainAfterRateLimits(state, request, backends);
         return;
       }
       StartPlacedAttempt(state, request, answer.placement);
       return;
     case PlacementOutcome::kQueued:
-      QueueRequest(state, request, kAskAgain, answer.shortage);
+      QueueRequest(state, request, kPlacementRepeatInterval, answer.shortage);
       return;
     case PlacementOutcome::kRefused:
       request.placer.clear();
@@ -287,7 +291,7 @@
 
 void OnPlacementRequest(State& state, const PlacementRequest& question) {
   auto& all = state.dispatch.remote_placements;
-  const AskedKey key{question.peer_address, question.id};
+  const RemotePlacementKey key{question.peer_address, question.id};
   const auto before = all.find(key);
   const bool same =
       before != all.end() &&
@@ -299,27 +303,27 @@
   }
   // The answer may have been lost.
   if (same && before->second.placement) {
-    Reply(state, before->second, PlacementOutcome::kPlaced);
+    Respond(state, before->second, PlacementOutcome::kPlaced);
     return;
   }
-  StandIn(state);
+  BecomeFallbackPlacer(state);
   const EngineTiming* timing = TimingOf(state, question.service);
   const bool known = timing != nullptr || question.prompt_tokens == 0;
   // One that does not know what others have would place badly; another placer,
   // or the daemon itself, does better.
   if (!known || !ReceivesAllActiveRequests(state)) return;
-  RemotePlacement& asked = all[key];
-  const auto waits_for = asked.waits_for;
-  asked = {.request = question,
-           .prefill_time = timing == nullptr
-                               ? Duration::zero()
-                               : PrefillTime(*timing, question.prompt_tokens),
-           .last_requested_at = state.now,
-           .retry_at = state.now + kLookAgain,
-           .waits_for = same ? waits_for : std::nullopt};
-  if (Look(state, asked)) {
-    Reply(state, asked, PlacementOutcome::kQueued);
-  } else if (!asked.placement) {
+  RemotePlacement& remote = all[key];
+  const auto waits_for = remote.waits_for;
+  remote = {.request = question,
+            .prefill_time = timing == nullptr
+                                ? Duration::zero()
+                                : PrefillTime(*timing, question.prompt_tokens),
+            .last_requested_at = state.now,
+            .retry_at = state.now + kPlacementRetryInterval,
+            .waits_for = same ? waits_for : std::nullopt};
+  if (TryPlace(state, remote)) {
+    Respond(state, remote, PlacementOutcome::kQueued);
+  } else if (!remote.placement) {
     all.erase(key);
   }
 }
@@ -327,8 +331,8 @@
 void RetryRemotePlacements(State& state) {
   auto& all = state.dispatch.remote_placements;
   if (all.empty()) return;
-  ForgetAsked(state);
-  std::vector<std::pair<Time, AskedKey>> due;
+  DropExpiredPlacements(state);
+  std::vector<std::pair<Time, RemotePlacementKey>> due;
   for (const auto& [key, it] : all) {
     if (it.placement || it.retry_at > state.now) continue;
     due.emplace_back(QueueKeyOf(state, it), key);
@@ -336,16 +340,17 @@
   std::sort(due.begin(), due.end());
   // Behind one that found no room nobody does: those are looked at more rarely,
   // for their outlook.
-  std::set<std::string> full;
-  for (const auto& [turn, key] : due) {
-    RemotePlacement& asked = all.at(key);
-    const std::string service = asked.request.service;
-    const bool in_line = asked.prefill_time > kShortPromptPrefillLimit;
-    const bool behind = in_line && full.contains(service);
-    asked.retry_at = state.now + (behind ? kOutlookAgain : kLookAgain);
-    if (Look(state, asked)) {
-      if (in_line) full.insert(service);
-    } else if (!asked.placement) {
+  std::set<std::string> blocked_services;
+  for (const auto& [queue_key, key] : due) {
+    RemotePlacement& remote = all.at(key);
+    const std::string service = remote.request.service;
+    const bool is_long = remote.prefill_time > kShortPromptPrefillLimit;
+    const bool behind = is_long && blocked_services.contains(service);
+    remote.retry_at =
+        state.now + (behind ? kQueueEstimateInterval : kPlacementRetryInterval);
+    if (TryPlace(state, remote)) {
+      if (is_long) blocked_services.insert(service);
+    } else if (!remote.placement) {
       all.erase(key);
     }
   }
@@ -354,12 +359,12 @@
 void DropPublishedPlacements(State& state, const LoadSnapshot& told) {
   auto& all = state.dispatch.remote_placements;
   if (all.empty()) return;
-  const auto forget = [&](std::uint64_t id) {
+  const auto erase_placed = [&](std::uint64_t id) {
     const auto it = all.find({told.peer_address, id});
     if (it != all.end() && it->second.placement) all.erase(it);
   };
-  for (const ActiveRequest& it : told.active_requests) forget(it.id);
-  for (const std::uint64_t it : told.finished_ids) forget(it);
+  for (const ActiveRequest& it : told.active_requests) erase_placed(it.id);
+  for (const std::uint64_t it : told.finished_ids) erase_placed(it);
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/long_placement.cc
+++ b/serving/src/long_placement.cc
@@ -12,62 +12,63 @@
 // prompt. Engines read the newest part first, and parts for others before
 // prompts of their own: whatever is begun before the last part is done delays
 // that one. So prompts wait at the daemons, where their order can be chosen.
-constexpr Duration kMostLongBacklog = milliseconds(30);
+constexpr Duration kMaxBacklogForPart = milliseconds(30);
 // Part of the engines that a long prompt is to be read by that must have room
 // before it starts: on few, it would stand in the way of others for long.
-constexpr double kLeastGang = 0.6;
+constexpr double kMinGroupShare = 0.6;
 // A prompt is read in parts of about this and more: the passes around a part
 // take about as long, in which its engine reads nothing else. Measured over 24
 // days: 40, 80, 140 and 220 ms.
-constexpr Duration kLeastPart = milliseconds(140);
+constexpr Duration kPreferredMinPart = milliseconds(140);
 // Below this the pass costs several times the reading.
-constexpr Duration kSmallestPart = milliseconds(40);
+constexpr Duration kMinPart = milliseconds(40);
 // Memory is handed out in blocks of so many tokens.
-constexpr std::int64_t kBlockTokens = 16;
+constexpr std::int64_t kMemoryBlockTokens = 16;
 // Engines that long prompts leave alone, however few short ones there are.
-constexpr std::size_t kLeastShortEngines = 1;
+constexpr std::size_t kMinShortPromptEngines = 1;
 // Part of the longest pause that a part of a long prompt may fill where short
 // prompts are in work: others of these are read meanwhile.
-constexpr double kPauseBesideShort = 0.8;
+constexpr double kEventGapShareBesideShortPrompts = 0.8;
 
 // The number of engines at the start of the order that are kept for short
 // prompts, from those that are there now.
-std::size_t ShortEngines(const EngineTiming& timing,
-                         const std::vector<EngineView>& pool) {
+std::size_t EnginesForShortPrompts(const EngineTiming& timing,
+                                   const std::vector<EngineView>& pool) {
   std::int64_t running = 0;
   for (const EngineView& it : pool) running += it.short_running;
   const auto limit =
       std::max<std::int64_t>(RequestsBeforeNextEngine(timing), 1);
   const auto wanted = static_cast<std::size_t>((running + limit / 2) / limit);
-  const std::size_t most = pool.size() > kMinLongPromptEngines
-                               ? pool.size() - kMinLongPromptEngines
-                               : 0;
-  return std::min(std::max(wanted + 1, kLeastShortEngines), most);
+  const std::size_t max_engines = pool.size() > kMinLongPromptEngines
+                                      ? pool.size() - kMinLongPromptEngines
+                                      : 0;
+  return std::min(std::max(wanted + 1, kMinShortPromptEngines), max_engines);
 }
 
 // Whether a part that is read on this engine keeps the pauses of those who
 // write there in time. Short prompts are read there too, at any moment, so that
 // a part may take only some of what is left beside them.
-bool KeepsPauses(const EngineTiming& timing, const EngineView& engine,
-                 Duration part) {
+bool KeepsEventGaps(const EngineTiming& timing, const EngineView& engine,
+                    Duration part) {
   if (engine.running == 0) return true;
-  const Duration pass =
+  const Duration step =
       DecodeStepTime(timing, engine.running, engine.context_tokens);
-  const Duration before = engine.prefill_backlog + pass;
+  const Duration time_before = engine.prefill_backlog + step;
   if (engine.short_running == 0)
-    return before + part <= engine.min_event_gap_limit;
-  return before + part <=
-         FractionOf(engine.min_event_gap_limit, kPauseBesideShort);
+    return time_before + part <= engine.min_event_gap_limit;
+  return time_before + part <= FractionOf(engine.min_event_gap_limit,
+                                          kEventGapShareBesideShortPrompts);
 }
 
 // The engines that a long prompt may use at some time soon: those that short
 // prompts leave alone.
-std::vector<const EngineView*> LongEngines(
+std::vector<const EngineView*> EnginesOpenToLongPrompts(
     const EngineTiming& timing, const std::vector<EngineView>& pool) {
-  const std::size_t kept = ShortEngines(timing, pool);
+  const std::size_t kept_for_short = EnginesForShortPrompts(timing, pool);
   std::vector<const EngineView*> open;
   for (std::size_t i = 0; i < pool.size(); ++i) {
-    const bool free_of_short = i >= kept && pool[i].short_running == 0;
+    const bool free_of_short =
+        i >= kept_for_short && pool[i].short_running == 0;
     const bool may_help =
         pool[i].running < timing.slots && pool[i].helper_parts < timing.slots;
     if (free_of_short && may_help && !pool[i].suspected)
@@ -77,61 +78,63 @@
     // Short prompts are everywhere: the last engines have the fewest.
     for (auto it = pool.rbegin();
          it != pool.rend() && open.size() < kMinLongPromptEngines; ++it) {
-      const bool room = it->running < timing.slots;
-      if (room && !it->suspected) open.push_back(&*it);
+      const bool has_slot = it->running < timing.slots;
+      if (has_slot && !it->suspected) open.push_back(&*it);
     }
   }
   return open;
 }
 
 // Engines with short prompts that have room for a small part beside them.
-std::vector<const EngineView*> BesideShort(
+std::vector<const EngineView*> ShortPromptEnginesWithCapacity(
     const EngineTiming& timing, const std::vector<EngineView>& pool,
     const std::vector<const EngineView*>& open) {
   std::vector<const EngineView*> beside;
   for (const EngineView& it : pool) {
-    const bool known = std::find(open.begin(), open.end(), &it) != open.end();
-    if (known || it.suspected || it.helper_parts >= timing.slots) continue;
+    const bool is_open = std::find(open.begin(), open.end(), &it) != open.end();
+    if (is_open || it.suspected || it.helper_parts >= timing.slots) continue;
     // One without any is kept for those that come.
     if (it.short_running == 0) continue;
-    if (KeepsPauses(timing, it, kSmallestPart)) beside.push_back(&it);
+    if (KeepsEventGaps(timing, it, kMinPart)) beside.push_back(&it);
   }
   return beside;
 }
 
 // Shares a prompt's memory out: the rest after the tickets stays at `first`.
 // False where there is not enough.
-bool ShareMemory(const EngineTiming& timing, std::int64_t needed,
-                 const EngineView& first,
-                 const std::vector<const EngineView*>& helpers,
-                 std::vector<std::int64_t>& tokens) {
+bool DistributeMemory(const EngineTiming& timing, std::int64_t needed,
+                      const EngineView& decoder,
+                      const std::vector<const EngineView*>& helpers,
+                      std::vector<std::int64_t>& tokens) {
   const auto free = [&](const EngineView& it) {
     return std::max<std::int64_t>(UsableMemoryTokens(timing) - it.memory_used,
                                   0);
   };
-  std::int64_t rest = needed - free(first);
-  if (rest <= 0) return true;
+  std::int64_t remaining = needed - free(decoder);
+  if (remaining <= 0) return true;
   tokens.assign(helpers.size(), 0);
-  for (std::size_t i = 0; i < helpers.size() && rest > 0; ++i) {
-    const std::int64_t most = free(*helpers[i]) / kBlockTokens * kBlockTokens;
-    const std::int64_t whole =
-        (rest + kBlockTokens - 1) / kBlockTokens * kBlockTokens;
-    tokens[i] = std::min(most, whole);
-    rest -= tokens[i];
+  for (std::size_t i = 0; i < helpers.size() && remaining > 0; ++i) {
+    const std::int64_t available =
+        free(*helpers[i]) / kMemoryBlockTokens * kMemoryBlockTokens;
+    const std::int64_t rounded_up = (remaining + kMemoryBlockTokens - 1) /
+                                    kMemoryBlockTokens * kMemoryBlockTokens;
+    tokens[i] = std::min(available, rounded_up);
+    remaining -= tokens[i];
   }
-  return rest <= 0;
+  return remaining <= 0;
 }
 
 // Can't keep its objective, however many engines read it.
-bool IsLate(Duration read, const PlacementQuery& query) {
-  return read / static_cast<Duration::rep>(kMaxHelpersPerRequest + 1) >
+bool MissesObjective(Duration prefill_time, const PlacementQuery& query) {
+  return prefill_time / static_cast<Duration::rep>(kMaxHelpersPerRequest + 1) >
          query.until_due;
 }
 
 // Enough to be read within half of the time that is left.
-std::size_t EnginesInTime(Duration read, Duration time_left) {
-  constexpr Duration kLeastLeft = milliseconds(100);
-  return static_cast<std::size_t>(read / std::max(time_left / 2, kLeastLeft)) +
+std::size_t EnginesForDeadline(Duration prefill_time, Duration time_left) {
+  constexpr Duration kMinPrefillTime = milliseconds(100);
+  return static_cast<std::size_t>(prefill_time /
+                                  std::max(time_left / 2, kMinPrefillTime)) +
          1;
 }
 
@@ -141,10 +144,10 @@
 // could be named, came 1.9 s late all the same, and took the engines' time of
 // eight prompts of the usual 8.7 s.
 std::size_t WantedEngines(const std::vector<const EngineView*>& open,
-                          Duration read, const PlacementQuery& query) {
-  auto parts = static_cast<std::size_t>(read / kLeastPart);
-  if (IsLate(read, query)) {
-    parts = std::min(parts, EnginesInTime(read, query.time_left));
+                          Duration prefill_time, const PlacementQuery& query) {
+  auto parts = static_cast<std::size_t>(prefill_time / kPreferredMinPart);
+  if (MissesObjective(prefill_time, query)) {
+    parts = std::min(parts, EnginesForDeadline(prefill_time, query.time_left));
   }
   return std::max<std::size_t>(
       std::min({open.size(), parts, kMaxHelpersPerRequest + 1}), 1);
@@ -154,26 +157,26 @@
 // requests of its own is taken before an empty one, so that few engines have
 // writers, who pause for every part that is read there. Where none has the
 // memory for all of a prompt that no engine could hold, the one with the most.
-const EngineView* PickWriter(const EngineTiming& timing,
-                             const std::vector<const EngineView*>& able,
-                             const PlacementQuery& query) {
+const EngineView* PickDecoder(const EngineTiming& timing,
+                              const std::vector<const EngineView*>& eligible,
+                              const PlacementQuery& query) {
   const std::int64_t needed = query.prompt_tokens + query.answer_tokens;
   const EngineView* best = nullptr;
-  for (const EngineView* it : able) {
+  for (const EngineView* it : eligible) {
     if (it->running >= RequestsBeforeNextEngine(timing)) continue;
     if (it->memory_used + needed > UsableMemoryTokens(timing)) continue;
     if (best == nullptr || it->memory_used > best->memory_used) best = it;
   }
   if (best != nullptr || needed <= UsableMemoryTokens(timing)) return best;
-  for (const EngineView* it : able) {
+  for (const EngineView* it : eligible) {
     if (best == nullptr || it->memory_used < best->memory_used) best = it;
   }
   return best;
 }
 
 // The engines that read one long prompt together.
-struct Gang {
-  const EngineView* writer = nullptr;
+struct EngineGroup {
+  const EngineView* decoder = nullptr;
   std::vector<const EngineView*> helpers;
 };
 
@@ -183,64 +186,66 @@
 // reading, 4.2 s on each of 17 engines, made the first tokens of four others 4
 // to 7 s late and five streams pause for 3 to 4 s. One that can be in time does
 // not wait for idle engines: small pools seldom have enough of them.
-constexpr Duration kLongPart = seconds(1);
+constexpr Duration kLongPartPrefill = seconds(1);
 
 bool MayTakePart(const EngineTiming& timing, const EngineView& engine,
-                 Duration part, bool is_late) {
+                 Duration part, bool misses_objective) {
   const bool idle = engine.running == 0 && engine.helper_parts == 0;
-  if (is_late && part > kLongPart && !idle) return false;
-  return KeepsPauses(timing, engine, part);
+  if (misses_objective && part > kLongPartPrefill && !idle) return false;
+  return KeepsEventGaps(timing, engine, part);
 }
 
 // A gang of `size` from those whose writers don't pause too long for parts of
 // that size. Nothing of `writer` where there are too few, or no memory.
-Gang PickGang(const EngineTiming& timing, const PlacementQuery& query,
-              const std::vector<const EngineView*>& ready, std::size_t size) {
-  const Duration read = PrefillTime(timing, query.prompt_tokens);
-  const Duration part = read / static_cast<Duration::rep>(size);
-  const bool is_late = IsLate(read, query);
-  std::vector<const EngineView*> able;
-  std::copy_if(ready.begin(), ready.end(), std::back_inserter(able),
+EngineGroup PickGroup(const EngineTiming& timing, const PlacementQuery& query,
+                      const std::vector<const EngineView*>& ready,
+                      std::size_t size) {
+  const Duration prefill_time = PrefillTime(timing, query.prompt_tokens);
+  const Duration part = prefill_time / static_cast<Duration::rep>(size);
+  const bool misses_objective = MissesObjective(prefill_time, query);
+  std::vector<const EngineView*> eligible;
+  std::copy_if(ready.begin(), ready.end(), std::back_inserter(eligible),
                [&](const EngineView* it) {
-                 return MayTakePart(timing, *it, part, is_late);
+                 return MayTakePart(timing, *it, part, misses_objective);
                });
-  Gang gang;
-  if (able.size() < size) return gang;
-  gang.writer = PickWriter(timing, able, query);
-  if (gang.writer == nullptr) return gang;
-  for (const EngineView* it : able) {
-    if (it != gang.writer && it->prefilling == 0) gang.helpers.push_back(it);
+  EngineGroup group;
+  if (eligible.size() < size) return group;
+  group.decoder = PickDecoder(timing, eligible, query);
+  if (group.decoder == nullptr) return group;
+  for (const EngineView* it : eligible) {
+    if (it != group.decoder && it->prefilling == 0) group.helpers.push_back(it);
   }
-  if (gang.helpers.size() + 1 < size) return Gang{};
+  if (group.helpers.size() + 1 < size) return EngineGroup{};
   // Those without requests of their own first, then those with the most memory.
-  std::stable_sort(gang.helpers.begin(), gang.helpers.end(),
+  std::stable_sort(group.helpers.begin(), group.helpers.end(),
                    [](const EngineView* a, const EngineView* b) {
                      if (a->running != b->running) {
                        return a->running < b->running;
                      }
                      return a->memory_used < b->memory_used;
                    });
-  gang.helpers.resize(size - 1);
-  return gang;
+  group.helpers.resize(size - 1);
+  return group;
 }
 
 // A gang of about `wanted`: fewer if some are busy, or else more, whose smaller
 // parts more engines can take. Nothing of `writer` where there is none.
-Gang FindGang(const EngineTiming& timing, const PlacementQuery& query,
-              const std::vector<const EngineView*>& ready, std::size_t wanted) {
-  const auto least = static_cast<std::size_t>(
-      std::ceil(kLeastGang * static_cast<double>(wanted)));
-  for (std::size_t n = std::min(wanted, ready.size()); n >= least; --n) {
-    Gang gang = PickGang(timing, query, ready, n);
-    if (gang.writer != nullptr) return gang;
+EngineGroup FindGroup(const EngineTiming& timing, const PlacementQuery& query,
+                      const std::vector<const EngineView*>& ready,
+                      std::size_t wanted) {
+  const auto min_size = static_cast<std::size_t>(
+      std::ceil(kMinGroupShare * static_cast<double>(wanted)));
+  for (std::size_t n = std::min(wanted, ready.size()); n >= min_size; --n) {
+    EngineGroup group = PickGroup(timing, query, ready, n);
+    if (group.decoder != nullptr) return group;
   }
   const auto parts = static_cast<std::size_t>(
-      PrefillTime(timing, query.prompt_tokens) / kSmallestPart);
-  const std::size_t most =
+      PrefillTime(timing, query.prompt_tokens) / kMinPart);
+  const std::size_t max_size =
       std::min({parts, ready.size(), kMaxHelpersPerRequest + 1});
-  for (std::size_t n = wanted + 1; n <= most; ++n) {
-    Gang gang = PickGang(timing, query, ready, n);
-    if (gang.writer != nullptr) return gang;
+  for (std::size_t n = wanted + 1; n <= max_size; ++n) {
+    EngineGroup group = PickGroup(timing, query, ready, n);
+    if (group.decoder != nullptr) return group;
   }
   return {};
 }
@@ -250,12 +255,12 @@
 Shortage ShortageOf(const EngineTiming& timing, const PlacementQuery& query,
                     const std::vector<const EngineView*>& open) {
   const std::int64_t needed = query.prompt_tokens + query.answer_tokens;
-  const bool memory =
+  const bool has_memory =
       needed > UsableMemoryTokens(timing) ||
       std::any_of(open.begin(), open.end(), [&](const EngineView* it) {
         return it->memory_used + needed <= UsableMemoryTokens(timing);
       });
-  return memory ? Shortage::kEngines : Shortage::kMemory;
+  return has_memory ? Shortage::kEngines : Shortage::kMemory;
 }
 
 }  // namespace
@@ -264,38 +269,40 @@
                                 const std::vector<EngineView>& pool,
                                 const PlacementQuery& query) {
   const std::int64_t needed = query.prompt_tokens + query.answer_tokens;
-  const auto most_engines = static_cast<std::int64_t>(
+  const auto max_engines = static_cast<std::int64_t>(
       std::min(pool.size(), kMaxHelpersPerRequest + 1));
-  if (needed > most_engines * UsableMemoryTokens(timing)) return TooLarge{};
-  const auto open = LongEngines(timing, pool);
-  const Duration read = PrefillTime(timing, query.prompt_tokens);
-  const std::size_t wanted = WantedEngines(open, read, query);
-  std::vector<const EngineView*> ready = BesideShort(timing, pool, open);
+  if (needed > max_engines * UsableMemoryTokens(timing)) return TooLarge{};
+  const auto open = EnginesOpenToLongPrompts(timing, pool);
+  const Duration prefill_time = PrefillTime(timing, query.prompt_tokens);
+  const std::size_t wanted = WantedEngines(open, prefill_time, query);
+  std::vector<const EngineView*> ready =
+      ShortPromptEnginesWithCapacity(timing, pool, open);
   ready.insert(ready.begin(), open.begin(), open.end());
   std::erase_if(ready, [](const EngineView* it) {
-    return it->prefill_backlog > kMostLongBacklog;
+    return it->prefill_backlog > kMaxBacklogForPart;
   });
-  const Gang gang = FindGang(timing, query, ready, wanted);
-  if (gang.writer == nullptr)
+  const EngineGroup group = FindGroup(timing, query, ready, wanted);
+  if (group.decoder == nullptr)
     return NoCapacityNow{ShortageOf(timing, query, open)};
-  Placement placed{.backend = gang.writer->id,
-                   .helpers = {},
-                   .helper_tokens = {},
-                   .first_token = {}};
-  Duration backlog = gang.writer->prefill_backlog;
-  for (const EngineView* it : gang.helpers) {
-    placed.helpers.push_back(it->id);
+  Placement placement{.backend = group.decoder->id,
+                      .helpers = {},
+                      .helper_tokens = {},
+                      .first_token = {}};
+  Duration backlog = group.decoder->prefill_backlog;
+  for (const EngineView* it : group.helpers) {
+    placement.helpers.push_back(it->id);
     backlog = std::max(backlog, it->prefill_backlog);
   }
-  if (!ShareMemory(timing, needed, *gang.writer, gang.helpers,
-                   placed.helper_tokens)) {
+  if (!DistributeMemory(timing, needed, *group.decoder, group.helpers,
+                        placement.helper_tokens)) {
     return NoCapacityNow{Shortage::kCombinedMemory};
   }
-  placed.first_token =
-      backlog + read / static_cast<Duration::rep>(gang.helpers.size() + 1) +
-      2 * DecodeStepTime(timing, gang.writer->running,
-                         needed + gang.writer->context_tokens);
-  return placed;
+  placement.first_token =
+      backlog +
+      prefill_time / static_cast<Duration::rep>(group.helpers.size() + 1) +
+      2 * DecodeStepTime(timing, group.decoder->running,
+                         needed + group.decoder->context_tokens);
+  return placement;
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/queue.cc
+++ b/serving/src/queue.cc
@@ -11,19 +11,19 @@
 // is earned for a prompt grows more slowly than its reading, so short ones
 // first earns most for the engines' time. One that has missed its objective
 // earns about a quarter, and gives way by so many times as much.
-constexpr int kLateFactor = 10;
+constexpr int kLateQueueKeyFactor = 10;
 // Part of the time of the engines that long prompts get that is spent reading:
 // the rest goes to passes that write, and parts that wait for the slowest.
-constexpr double kReadingPart = 0.85;
+constexpr double kPrefillShare = 0.85;
 // A client may be asked to come back within this part of its time that is left;
 // it does not wait longer.
-constexpr double kMostRetryPart = 0.33;
-constexpr Duration kLeastRetryAfter = milliseconds(200);
+constexpr double kMaxRetryAfterShare = 0.33;
+constexpr Duration kMinRetryAfter = milliseconds(200);
 
 // Waits for its turn, engines or one engine's memory. One that needs the memory
 // of several together lets others go on meanwhile; measured, letting all go on
 // that wait for memory starved them.
-bool IsInLine(const Request& request, const std::string& service) {
+bool HoldsQueuePosition(const Request& request, const std::string& service) {
   return request.phase == Phase::kWaiting && request.service == service &&
          request.prefill_time > kShortPromptPrefillLimit &&
          request.waits_for != Shortage::kCombinedMemory;
@@ -32,7 +32,7 @@
 }  // namespace
 
 Time QueueKeyOf(const State& state, Time arrived, Time due, Duration read) {
-  return arrived + read * (state.now > due ? kLateFactor : 1);
+  return arrived + read * (state.now > due ? kLateQueueKeyFactor : 1);
 }
 
 Time QueueKeyOf(const State& state, const PlacementDemand& demand) {
@@ -56,7 +56,7 @@
 std::vector<WaitingRequest> WaitingOf(const State& state) {
   std::vector<WaitingRequest> waiting;
   for (const auto& [key, it] : state.requests) {
-    if (!IsInLine(it, it.service) && !AwaitsRateLimit(it)) continue;
+    if (!HoldsQueuePosition(it, it.service) && !AwaitsRateLimit(it)) continue;
     waiting.push_back({.id = it.key,
                        .service = it.service,
                        .queue_key = QueueKeyOf(state, it),
@@ -68,61 +68,62 @@
 
 QueueEstimate EstimateQueue(const State& state, const PlacementDemand& demand,
                             const EngineTiming& timing, std::size_t engines) {
-  const Time turn = QueueKeyOf(state, demand);
-  QueueEstimate outlook;
-  Duration before{};
-  const auto add = [&](Time other, Duration read) {
-    if (other >= turn) return;
-    ++outlook.ahead;
-    before += read;
+  const Time queue_key = QueueKeyOf(state, demand);
+  QueueEstimate estimate;
+  Duration prefill_ahead{};
+  const auto add_if_ahead = [&](Time other_key, Duration prefill_time) {
+    if (other_key >= queue_key) return;
+    ++estimate.ahead;
+    prefill_ahead += prefill_time;
   };
   // A prompt's own turn is not before itself.
   for (const auto& [key, it] : state.requests) {
-    if (IsInLine(it, demand.service))
-      add(QueueKeyOf(state, it), it.prefill_time);
+    if (HoldsQueuePosition(it, demand.service))
+      add_if_ahead(QueueKeyOf(state, it), it.prefill_time);
   }
   for (const auto& [key, it] : state.dispatch.remote_placements) {
-    const bool in_line = !it.placement &&
-                         it.prefill_time > kShortPromptPrefillLimit &&
-                         it.waits_for != Shortage::kCombinedMemory &&
-                         it.request.service == demand.service;
-    if (in_line) add(QueueKeyOf(state, it), it.prefill_time);
+    const bool holds_position = !it.placement &&
+                                it.prefill_time > kShortPromptPrefillLimit &&
+                                it.waits_for != Shortage::kCombinedMemory &&
+                                it.request.service == demand.service;
+    if (holds_position) add_if_ahead(QueueKeyOf(state, it), it.prefill_time);
   }
   for (const auto& [address, member] : state.members) {
     if (!IsLive(state, member)) continue;
     for (const WaitingRequest& it : member.snapshot.waiting) {
-      const bool in_line = it.prefill_time > kShortPromptPrefillLimit;
-      if (in_line && it.service == demand.service)
-        add(it.queue_key, it.prefill_time);
+      const bool holds_position = it.prefill_time > kShortPromptPrefillLimit;
+      if (holds_position && it.service == demand.service)
+        add_if_ahead(it.queue_key, it.prefill_time);
     }
   }
   std::size_t short_prompts = 0;
   for (const ActiveRequest* it : AllActiveRequests(state)) {
     // Plain requests have no prompt.
     if (it->prompt_tokens == 0) continue;
-    const Duration read = PrefillTime(timing, it->prompt_tokens);
-    if (read <= kShortPromptPrefillLimit) ++short_prompts;
-    if (it->decoding || read <= kShortPromptPrefillLimit) continue;
+    const Duration prefill_time = PrefillTime(timing, it->prompt_tokens);
+    if (prefill_time <= kShortPromptPrefillLimit) ++short_prompts;
+    if (it->decoding || prefill_time <= kShortPromptPrefillLimit) continue;
     const auto parts = static_cast<Duration::rep>(it->helpers.size() + 1);
-    const Duration gone = (state.now - it->started_at) * parts;
-    before += std::max(read - gone, Duration::zero());
+    const Duration done = (state.now - it->started_at) * parts;
+    prefill_ahead += std::max(prefill_time - done, Duration::zero());
   }
   const double capacity =
-      kReadingPart * static_cast<double>(
-                         EnginesForLongPrompts(timing, engines, short_prompts));
-  const auto spread = [&](Duration work) {
-    return FractionOf(work, 1 / capacity);
+      kPrefillShare * static_cast<double>(EnginesForLongPrompts(timing, engines,
+                                                                short_prompts));
+  const auto time_for = [&](Duration prefill_time) {
+    return FractionOf(prefill_time, 1 / capacity);
   };
-  outlook.start = spread(before);
-  outlook.first_token = outlook.start + spread(demand.prefill_time);
-  return outlook;
+  estimate.start = time_for(prefill_ahead);
+  estimate.first_token = estimate.start + time_for(demand.prefill_time);
+  return estimate;
 }
 
 Duration RetryAfterOf(const State& state, const PlacementDemand& demand,
                       Duration expected) {
-  const Duration most = FractionOf(demand.deadline - state.now, kMostRetryPart);
-  return std::clamp(expected, kLeastRetryAfter,
-                    std::max(most, kLeastRetryAfter));
+  const Duration max_retry_after =
+      FractionOf(demand.deadline - state.now, kMaxRetryAfterShare);
+  return std::clamp(expected, kMinRetryAfter,
+                    std::max(max_retry_after, kMinRetryAfter));
 }
 
 std::optional<DeadlineUnreachable> CheckDeadline(State& state,
--- a/serving/src/start_meter.cc
+++ b/serving/src/start_meter.cc
@@ -6,10 +6,10 @@
 namespace {
 
 // Starts that are saved up while none is made, where the rate is high.
-constexpr double kSavedSeconds = 0.25;
+constexpr double kBurstSeconds = 0.25;
 // What is owed beyond so long a time of the rate is forgiven: a server looks at
 // the last seconds.
-constexpr double kOwedSeconds = 4;
+constexpr double kMaxDeficitSeconds = 4;
 
 double SecondsOf(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -24,8 +24,8 @@
 }
 
 void StartRateLimiter::TakeToken(Time now) {
-  const double least = -std::max(kOwedSeconds * per_second_, 1.0);
-  tokens_ = std::max(TokensAt(now) - 1, least);
+  const double min_tokens = -std::max(kMaxDeficitSeconds * per_second_, 1.0);
+  tokens_ = std::max(TokensAt(now) - 1, min_tokens);
   updated_at_ = now;
 }
 
@@ -37,8 +37,9 @@
 }
 
 double StartRateLimiter::TokensAt(Time now) const {
-  const double most = std::max(kSavedSeconds * per_second_, 1.0);
-  return std::min(tokens_ + per_second_ * SecondsOf(now - updated_at_), most);
+  const double max_tokens = std::max(kBurstSeconds * per_second_, 1.0);
+  return std::min(tokens_ + per_second_ * SecondsOf(now - updated_at_),
+                  max_tokens);
 }
 
 }  // namespace scaleshed::serving
--- a/serving/src/starting.cc
+++ b/serving/src/starting.cc
@@ -9,34 +9,34 @@
 namespace {
 
 // Tries at a request that did not run each time.
-constexpr int kMostRefusals = 3;
+constexpr int kMaxDeclinedSends = 3;
 // Between two looks at a pool that had no room.
-constexpr Duration kLookAgain = milliseconds(10);
+constexpr Duration kPlacementRetryInterval = milliseconds(10);
 // After memory was refused: about the time in which an answer ends.
-constexpr Duration kMemoryAgain = milliseconds(200);
+constexpr Duration kMemoryRetryInterval = milliseconds(200);
 // Memory is set aside for so short a time, and again and again, that what a
 // daemon leaves behind when it dies lapses before it counts as lost (4 s).
-constexpr Duration kHold = milliseconds(3500);
-constexpr Duration kRenewAfter = milliseconds(900);
+constexpr Duration kReservationLease = milliseconds(3500);
+constexpr Duration kReservationRenewInterval = milliseconds(900);
 // Memory is renewed only for an engine that was seen to live so short a time
 // ago, by an event or by its report: an engine that falls silent without
 // closing ends its request, and with the hold its memory lapses 3.8 s later,
 // within the 4 s after which it counts as lost. It is asked this often while it
 // says nothing: a report takes some ms.
-constexpr Duration kSignWithin = milliseconds(300);
-constexpr Duration kAskSignEvery = milliseconds(250);
+constexpr Duration kMaxLivenessSignalAge = milliseconds(300);
+constexpr Duration kLivenessProbeInterval = milliseconds(250);
 // Orders are answered within milliseconds, or not at all.
-constexpr Duration kReserveWithin = milliseconds(400);
+constexpr Duration kReservationTimeout = milliseconds(400);
 // A stream's first event may be later than expected by this and by as much as
 // was expected, before another backend server is asked. Clients give up short
 // streams after two seconds of silence.
 constexpr Duration kFirstEventGrace = milliseconds(900);
 // A repeatable request without an answer is sent elsewhere after this multiple
 // of its objective.
-constexpr int kHangObjectives = 3;
-constexpr Duration kLeastHang = milliseconds(800);
+constexpr int kHangTimeoutObjectives = 3;
+constexpr Duration kMinHangTimeout = milliseconds(800);
 
-void Send(State& state, Request& request) {
+void SendAttempt(State& state, Request& request) {
   Backend* backend = FindBackend(state, request.backend);
   // Setting memory aside took a while; a helper that leaves would refuse its
   // part, and the prompt with it.
@@ -44,20 +44,21 @@
   for (const BackendId it : request.active_request.helpers) {
     helpers.push_back(FindBackend(state, it));
   }
-  const auto takes = [&](const Backend* it) {
+  const auto takes_work = [&](const Backend* it) {
     return it != nullptr && TakesWork(*it) && !IsBackingOff(state, it->id);
   };
-  const bool helped = std::all_of(helpers.begin(), helpers.end(), takes);
-  if (!takes(backend) || !helped || !AreBackendsUsable(state)) {
+  const bool helpers_ready =
+      std::all_of(helpers.begin(), helpers.end(), takes_work);
+  if (!takes_work(backend) || !helpers_ready || !AreBackendsUsable(state)) {
     // Whoever placed it may not know yet that this one leaves, or wants rest.
-    if (!takes(backend)) request.excluded.insert(request.backend);
-    Requeue(state, request, kLookAgain);
+    if (!takes_work(backend)) request.excluded.insert(request.backend);
+    Requeue(state, request, kPlacementRetryInterval);
     return;
   }
   if (RefuseIfQuarantined(state, request)) return;
   // Whoever placed it may not know yet what is being asked.
   if (AwaitsCrashCheck(state, request.metadata.fingerprint)) {
-    Requeue(state, request, kLookAgain);
+    Requeue(state, request, kPlacementRetryInterval);
     return;
   }
   if (!CommitRetry(state, request)) {
@@ -80,16 +81,16 @@
                       .time_left = request.deadline - state.now,
                       .stream = IsStream(request.route.kind)};
   if (request.response_started) effect.resume_after = request.last_event_id;
-  std::string names;
+  std::string helper_names;
   for (std::size_t i = 0; i < helpers.size(); ++i) {
     const BackendServer& helper = helpers[i]->server;
-    const std::string ticket =
+    const std::string reservation_id =
         i < request.memory_reservations.size()
             ? request.memory_reservations[i].reservation_id
             : "";
     effect.helpers.push_back(
-        {.address = helper.address, .reservation_id = ticket});
-    names += (names.empty() ? "" : ",") + helper.id;
+        {.address = helper.address, .reservation_id = reservation_id});
+    helper_names += (helper_names.empty() ? "" : ",") + helper.id;
   }
   state.effects.emplace_back(IncrementCounter{Counter::kSends});
   if (!effect.helpers.empty()) {
@@ -102,7 +103,7 @@
        {"backend", backend->server.id},
        {"address", backend->server.address},
        {"helpers", std::to_string(effect.helpers.size())},
-       {"helped_by", names},
+       {"helped_by", helper_names},
        {"prompt", std::to_string(request.metadata.prompt_tokens)},
        {"waited_ms", Millis(state.now - request.arrived)},
        {"expected_ms", Millis(request.expected_time_to_first_token)},
@@ -116,41 +117,43 @@
   state.effects.emplace_back(std::move(effect));
 }
 
-void Reserve(State& state, Request& request, const Placement& placed) {
+void ReserveHelperMemory(State& state, Request& request,
+                         const Placement& placed) {
   request.phase = Phase::kReserving;
-  request.progress_deadline = state.now + kReserveWithin;
+  request.progress_deadline = state.now + kReservationTimeout;
   request.memory_reservations.assign(placed.helpers.size(), {});
   for (std::size_t i = 0; i < placed.helpers.size(); ++i) {
-    MemoryReservation& memory = request.memory_reservations[i];
-    memory.tokens = placed.helper_tokens[i];
+    MemoryReservation& reservation = request.memory_reservations[i];
+    reservation.tokens = placed.helper_tokens[i];
     const Backend* helper = FindBackend(state, placed.helpers[i]);
-    if (memory.tokens == 0 || helper == nullptr) {
-      memory.granted = true;
+    if (reservation.tokens == 0 || helper == nullptr) {
+      reservation.granted = true;
       continue;
     }
-    memory.address = helper->server.address;
-    memory.reservation_id = std::to_string(state.options.incarnation) + "-" +
-                            std::to_string(request.attempt) + "-" +
-                            std::to_string(i);
-    memory.renew_at = state.now + kRenewAfter;
+    reservation.address = helper->server.address;
+    reservation.reservation_id = std::to_string(state.options.incarnation) +
+                                 "-" + std::to_string(request.attempt) + "-" +
+                                 std::to_string(i);
+    reservation.renew_at = state.now + kReservationRenewInterval;
     state.effects.emplace_back(IncrementCounter{Counter::kMemoryReservations});
     state.effects.emplace_back(
         ReserveMemory{.attempt = request.attempt,
                       .helper_index = i,
-                      .address = memory.address,
-                      .reservation_id = memory.reservation_id,
-                      .tokens = memory.tokens,
-                      .lease_duration = kHold});
+                      .address = reservation.address,
+                      .reservation_id = reservation.reservation_id,
+                      .tokens = reservation.tokens,
+                      .lease_duration = kReservationLease});
   }
 }
 
-Duration ProgressWithin(const Request& request, const Placement& placed) {
+Duration ProgressTimeout(const Request& request, const Placement& placed) {
   if (request.route.kind == RequestKind::kRepeatable) {
-    return std::max(kHangObjectives * request.route.objective, kLeastHang);
+    return std::max(kHangTimeoutObjectives * request.route.objective,
+                    kMinHangTimeout);
   }
-  const Duration slack =
+  const Duration grace =
       std::max(kFirstEventGrace, request.route.objective / 2);
-  return 2 * placed.first_token + slack;
+  return 2 * placed.first_token + grace;
 }
 
 }  // namespace
@@ -177,22 +180,23 @@
   request.expected_time_to_first_token = placed.first_token;
   RecordStart(state, placed);
   state.has_unpublished_changes = true;
-  const bool tickets =
+  const bool needs_reservations =
       std::any_of(placed.helper_tokens.begin(), placed.helper_tokens.end(),
                   [](std::int64_t it) { return it > 0; });
-  if (tickets) {
-    Reserve(state, request, placed);
+  if (needs_reservations) {
+    ReserveHelperMemory(state, request, placed);
     return;
   }
   request.memory_reservations.clear();
-  request.progress_deadline = state.now + ProgressWithin(request, placed);
-  Send(state, request);
+  request.progress_deadline = state.now + ProgressTimeout(request, placed);
+  SendAttempt(state, request);
 }
 
 void QueueRequest(State& state, Request& request, Duration pause, Shortage of) {
   // That it goes on waiting is no news: the others are told of what changed
   // alone, each look at a full pool would be one more message to all of them.
-  const bool news = request.phase != Phase::kWaiting || request.waits_for != of;
+  const bool changed =
+      request.phase != Phase::kWaiting || request.waits_for != of;
   if (request.waits_for != of) {
     request.waits_for = of;
     Log(state, "waits",
@@ -203,40 +207,42 @@
   }
   request.phase = Phase::kWaiting;
   request.retry_at = state.now + pause;
-  state.has_unpublished_changes = state.has_unpublished_changes || news;
+  state.has_unpublished_changes = state.has_unpublished_changes || changed;
 }
 
 void TryStart(State& state, Request& request) {
   // Where this daemon is late, a request may be too by now.
   if (state.now >= request.deadline) {
-    RefuseRequest(state, request, Refusal::kTimeLimit, kLookAgain);
+    RefuseRequest(state, request, Refusal::kTimeLimit, kPlacementRetryInterval);
     return;
   }
   if (!AreBackendsUsable(state)) {
-    QueueRequest(state, request, kLookAgain, Shortage::kFreshness);
+    QueueRequest(state, request, kPlacementRetryInterval, Shortage::kFreshness);
     return;
   }
   if (RefuseIfQuarantined(state, request)) return;
   if (AwaitsLivenessSignal(state, request.metadata.fingerprint) ||
       AwaitsCrashCheck(state, request.metadata.fingerprint)) {
-    QueueRequest(state, request, kLookAgain, Shortage::kCrashCheck);
+    QueueRequest(state, request, kPlacementRetryInterval,
+                 Shortage::kCrashCheck);
     return;
   }
   // After waiting and failing the configuration may be another one; the
   // backend servers of the chosen service are still those that may run it.
   const auto open = OpenBackends(state, request.service);
-  if (open.empty() || request.declined_sends > kMostRefusals) {
-    const Duration again = milliseconds(200);
+  if (open.empty() || request.declined_sends > kMaxDeclinedSends) {
+    const Duration retry_after = milliseconds(200);
     RefuseRequest(state, request,
-                  open.empty() ? Refusal::kNoBackend : Refusal::kNotRun, again);
+                  open.empty() ? Refusal::kNoBackend : Refusal::kNotRun,
+                  retry_after);
     return;
   }
   if (RefuseIfAllBackingOff(state, request, open)) return;
   // Of plain requests, a placer is asked for those that are to be counted over
   // all daemons.
-  const bool one_for_all = TimingOf(state, request.service) != nullptr ||
-                           AnyRateLimited(state, request.service);
-  if (one_for_all && !ReceivesAllActiveRequests(state)) {
+  const bool is_fleet_wide = TimingOf(state, request.service) != nullptr ||
+                             AnyRateLimited(state, request.service);
+  if (is_fleet_wide && !ReceivesAllActiveRequests(state)) {
     RequestRemotePlacement(state, request);
     return;
   }
@@ -244,37 +250,37 @@
 }
 
 void PlaceLocally(State& state, Request& request) {
-  std::visit(Overloaded{[&](const Placement& it) {
-                          StartPlacedAttempt(state, request, it);
-                        },
-                        [&](const NoCapacityNow& it) {
-                          QueueRequest(state, request, kLookAgain, it.shortage);
-                        },
-                        [&](const TooLarge&) {
-                          RefuseRequest(state, request, Refusal::kInvalid, {});
-                        },
-                        [&](const DeadlineUnreachable& it) {
-                          RefuseRequest(state, request, RefusalFor(it.shortage),
-                                        it.retry_after);
-                        }},
-             DecidePlacement(state, DemandOf(state, request)));
+  std::visit(
+      Overloaded{
+          [&](const Placement& it) { StartPlacedAttempt(state, request, it); },
+          [&](const NoCapacityNow& it) {
+            QueueRequest(state, request, kPlacementRetryInterval, it.shortage);
+          },
+          [&](const TooLarge&) {
+            RefuseRequest(state, request, Refusal::kInvalid, {});
+          },
+          [&](const DeadlineUnreachable& it) {
+            RefuseRequest(state, request, RefusalFor(it.shortage),
+                          it.retry_after);
+          }},
+      DecidePlacement(state, DemandOf(state, request)));
 }
 
 void StartWaitingRequests(State& state) {
   std::vector<std::pair<Time, RequestKey>> waiting;
-  auto& answer_due = state.dispatch.response_due;
-  answer_due.reset();
+  auto& response_due = state.dispatch.response_due;
+  response_due.reset();
   for (const auto& [key, request] : state.requests) {
     if (request.phase != Phase::kWaiting) continue;
     if (request.retry_at <= state.now) {
       waiting.emplace_back(QueueKeyOf(state, request), key);
     } else if (!request.placer.empty() && !request.placer_responded) {
-      answer_due =
-          std::min(answer_due.value_or(request.retry_at), request.retry_at);
+      response_due =
+          std::min(response_due.value_or(request.retry_at), request.retry_at);
     }
   }
   std::sort(waiting.begin(), waiting.end());
-  for (const auto& [turn, key] : waiting) {
+  for (const auto& [queue_key, key] : waiting) {
     const auto it = state.requests.find(key);
     if (it != state.requests.end()) TryStart(state, it->second);
   }
@@ -295,31 +301,33 @@
           std::to_string(
               request.memory_reservations[event.helper_index].tokens)}});
     EndAttempt(state, request, false);
-    QueueRequest(state, request, kMemoryAgain, Shortage::kCombinedMemory);
+    QueueRequest(state, request, kMemoryRetryInterval,
+                 Shortage::kCombinedMemory);
     return;
   }
   request.memory_reservations[event.helper_index].granted = true;
-  const bool all = std::all_of(
+  const bool all_granted = std::all_of(
       request.memory_reservations.begin(), request.memory_reservations.end(),
       [](const MemoryReservation& it) { return it.granted; });
-  if (!all) return;
+  if (!all_granted) return;
   request.active_request.started_at = state.now;
   request.progress_deadline =
       state.now + 2 * request.prefill_time +
       std::max(kFirstEventGrace, request.route.objective / 2);
-  Send(state, request);
+  SendAttempt(state, request);
 }
 
 namespace {
 
 // Whether the engine that is to write lives, as far as can be known; asks it
 // where that is not known.
-bool HasSign(State& state, Request& request) {
-  const bool lives = state.now - request.backend_alive_at <= kSignWithin;
-  if (request.phase != Phase::kRunning || lives) return true;
+bool IsBackendAlive(State& state, Request& request) {
+  const bool alive =
+      state.now - request.backend_alive_at <= kMaxLivenessSignalAge;
+  if (request.phase != Phase::kRunning || alive) return true;
   const Backend* backend = FindBackend(state, request.backend);
   if (backend != nullptr && request.probe_due <= state.now) {
-    request.probe_due = state.now + kAskSignEvery;
+    request.probe_due = state.now + kLivenessProbeInterval;
     RecordStart(state, request.backend);
     state.effects.emplace_back(FetchEngineReport{
         .backend = request.backend, .address = backend->server.address});
@@ -335,19 +343,20 @@
       [&](const MemoryReservation& it) {
         return !it.reservation_id.empty() && it.renew_at <= state.now;
       });
-  if (!due || !HasSign(state, request)) return;
+  if (!due || !IsBackendAlive(state, request)) return;
   for (std::size_t i = 0; i < request.memory_reservations.size(); ++i) {
-    MemoryReservation& memory = request.memory_reservations[i];
-    if (memory.reservation_id.empty() || memory.renew_at > state.now) continue;
-    memory.renew_at = state.now + kRenewAfter;
+    MemoryReservation& reservation = request.memory_reservations[i];
+    if (reservation.reservation_id.empty() || reservation.renew_at > state.now)
+      continue;
+    reservation.renew_at = state.now + kReservationRenewInterval;
     RecordStart(state, request.active_request.helpers[i]);
     state.effects.emplace_back(
         ReserveMemory{.attempt = request.attempt,
                       .helper_index = i,
-                      .address = memory.address,
-                      .reservation_id = memory.reservation_id,
-                      .tokens = memory.tokens,
-                      .lease_duration = kHold});
+                      .address = reservation.address,
+                      .reservation_id = reservation.reservation_id,
+                      .tokens = reservation.tokens,
+                      .lease_duration = kReservationLease});
   }
 }
 
--- a/serving/test/placement_test.cc
+++ b/serving/test/placement_test.cc
@@ -26,11 +26,11 @@
   return engines;
 }
 
-std::vector<EngineView> View(std::size_t n,
-                             const std::vector<ActiveRequest>& works) {
+std::vector<EngineView> PoolView(
+    std::size_t n, const std::vector<ActiveRequest>& active_requests) {
   std::vector<const ActiveRequest*> pointers;
-  pointers.reserve(works.size());
-  for (const ActiveRequest& it : works) pointers.push_back(&it);
+  pointers.reserve(active_requests.size());
+  for (const ActiveRequest& it : active_requests) pointers.push_back(&it);
   return BuildPoolView(kTiming, Engines(n), pointers, kNow);
 }
 
@@ -38,8 +38,8 @@
   return {.prompt_tokens = tokens, .answer_tokens = 1000};
 }
 
-ActiveRequest Reading(BackendId backend, std::vector<BackendId> helpers,
-                      std::int64_t tokens) {
+ActiveRequest Prefilling(BackendId backend, std::vector<BackendId> helpers,
+                         std::int64_t tokens) {
   return {.backend = backend,
           .helpers = std::move(helpers),
           .prompt_tokens = tokens,
@@ -47,12 +47,12 @@
           .started_at = kNow};
 }
 
-ActiveRequest Writing(BackendId backend, std::int64_t tokens,
-                      Duration longest_pause = milliseconds(800)) {
-  ActiveRequest work = Reading(backend, {}, tokens);
-  work.decoding = true;
-  work.max_event_gap = longest_pause;
-  return work;
+ActiveRequest Decoding(BackendId backend, std::int64_t tokens,
+                       Duration max_event_gap = milliseconds(800)) {
+  ActiveRequest request = Prefilling(backend, {}, tokens);
+  request.decoding = true;
+  request.max_event_gap = max_event_gap;
+  return request;
 }
 
 TEST_CASE("Reading takes what the published formula says") {
@@ -62,120 +62,134 @@
 }
 
 TEST_CASE("Short prompts fill the first engines, long ones keep off them") {
-  std::vector<ActiveRequest> works;
+  std::vector<ActiveRequest> active_requests;
   std::set<BackendId> used;
   for (int i = 0; i < 20; ++i) {
-    const auto placing = PlacePrompt(kTiming, View(18, works), Prompt(2000));
-    const auto* placed = std::get_if<Placement>(&placing);
-    REQUIRE(placed != nullptr);
-    CHECK(placed->helpers.empty());
-    used.insert(placed->backend);
-    ActiveRequest work = Writing(placed->backend, 2000, milliseconds(200));
-    works.push_back(work);
+    const auto result =
+        PlacePrompt(kTiming, PoolView(18, active_requests), Prompt(2000));
+    const auto* placement = std::get_if<Placement>(&result);
+    REQUIRE(placement != nullptr);
+    CHECK(placement->helpers.empty());
+    used.insert(placement->backend);
+    ActiveRequest request =
+        Decoding(placement->backend, 2000, milliseconds(200));
+    active_requests.push_back(request);
   }
   CHECK(used == std::set<BackendId>{1, 2});
-  const auto placing = PlacePrompt(kTiming, View(18, works), Prompt(210'000));
-  const auto* placed = std::get_if<Placement>(&placing);
-  REQUIRE(placed != nullptr);
-  CHECK(placed->helpers.size() >= 10);
-  CHECK_FALSE(used.contains(placed->backend));
-  for (const BackendId it : placed->helpers) CHECK_FALSE(used.contains(it));
+  const auto result =
+      PlacePrompt(kTiming, PoolView(18, active_requests), Prompt(210'000));
+  const auto* placement = std::get_if<Placement>(&result);
+  REQUIRE(placement != nullptr);
+  CHECK(placement->helpers.size() >= 10);
+  CHECK_FALSE(used.contains(placement->backend));
+  for (const BackendId it : placement->helpers) CHECK_FALSE(used.contains(it));
 }
 
 TEST_CASE("No part is begun where another is not read yet") {
-  const auto first = PlacePrompt(kTiming, View(8, {}), Prompt(210'000));
-  const auto& placed = std::get<Placement>(first);
-  const std::vector<ActiveRequest> works{
-      Reading(placed.backend, placed.helpers, 210'000)};
-  const auto second = PlacePrompt(kTiming, View(8, works), Prompt(210'000));
+  const auto first = PlacePrompt(kTiming, PoolView(8, {}), Prompt(210'000));
+  const auto& placement = std::get<Placement>(first);
+  const std::vector<ActiveRequest> active_requests{
+      Prefilling(placement.backend, placement.helpers, 210'000)};
+  const auto second =
+      PlacePrompt(kTiming, PoolView(8, active_requests), Prompt(210'000));
   CHECK(std::holds_alternative<NoCapacityNow>(second));
 }
 
 TEST_CASE("Parts keep off engines whose writers would pause too long") {
-  std::vector<ActiveRequest> works;
+  std::vector<ActiveRequest> active_requests;
   // Reviews write on engine 5 and may pause for half a second at most.
-  works.push_back(Writing(5, 45'000, milliseconds(500)));
-  const auto placing = PlacePrompt(kTiming, View(6, works), Prompt(400'000));
-  const auto* placed = std::get_if<Placement>(&placing);
-  REQUIRE(placed != nullptr);
-  for (const BackendId it : placed->helpers) CHECK(it != 5);
+  active_requests.push_back(Decoding(5, 45'000, milliseconds(500)));
+  const auto result =
+      PlacePrompt(kTiming, PoolView(6, active_requests), Prompt(400'000));
+  const auto* placement = std::get_if<Placement>(&result);
+  REQUIRE(placement != nullptr);
+  for (const BackendId it : placement->helpers) CHECK(it != 5);
 }
 
 TEST_CASE("A helper is free when its part is read, before the answer begins") {
   // 202 ms on each of 14 engines; engine 1 is kept for short prompts.
-  ActiveRequest work =
-      Reading(2, {3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, 210'000);
-  work.started_at = kNow - milliseconds(150);
+  ActiveRequest request =
+      Prefilling(2, {3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, 210'000);
+  request.started_at = kNow - milliseconds(150);
   CHECK(std::holds_alternative<NoCapacityNow>(
-      PlacePrompt(kTiming, View(15, {work}), Prompt(150'000))));
-  work.started_at = kNow - milliseconds(240);
-  const auto placing = PlacePrompt(kTiming, View(15, {work}), Prompt(150'000));
-  const auto* placed = std::get_if<Placement>(&placing);
-  REQUIRE(placed != nullptr);
-  CHECK(placed->backend != 2);
-  for (const BackendId it : placed->helpers) CHECK(it != 2);
+      PlacePrompt(kTiming, PoolView(15, {request}), Prompt(150'000))));
+  request.started_at = kNow - milliseconds(240);
+  const auto result =
+      PlacePrompt(kTiming, PoolView(15, {request}), Prompt(150'000));
+  const auto* placement = std::get_if<Placement>(&result);
+  REQUIRE(placement != nullptr);
+  CHECK(placement->backend != 2);
+  for (const BackendId it : placement->helpers) CHECK(it != 2);
 }
 
 TEST_CASE("Fewer engines, whose parts are larger, keep the pauses too") {
   // Nine of the engines are free. A ninth of this prompt takes 496 ms to read,
   // a fourteenth would take 319.
-  std::vector<ActiveRequest> works{Reading(2, {3, 4, 5, 6}, 600'000)};
-  works.push_back(Writing(15, 45'000, milliseconds(500)));
-  const auto placing = PlacePrompt(kTiming, View(15, works), Prompt(272'000));
-  CHECK(std::holds_alternative<NoCapacityNow>(placing));
+  std::vector<ActiveRequest> active_requests{
+      Prefilling(2, {3, 4, 5, 6}, 600'000)};
+  active_requests.push_back(Decoding(15, 45'000, milliseconds(500)));
+  const auto result =
+      PlacePrompt(kTiming, PoolView(15, active_requests), Prompt(272'000));
+  CHECK(std::holds_alternative<NoCapacityNow>(result));
 }
 
 TEST_CASE("Small parts are read beside short prompts, large ones are not") {
-  std::vector<ActiveRequest> works;
+  std::vector<ActiveRequest> active_requests;
   for (BackendId it = 1; it <= 18; ++it) {
-    works.push_back(Writing(it, 2000, milliseconds(200)));
+    active_requests.push_back(Decoding(it, 2000, milliseconds(200)));
   }
   // 18 ms on each of many, 300 ms on few.
-  const auto small = PlacePrompt(kTiming, View(18, works), Prompt(60'000));
+  const auto small =
+      PlacePrompt(kTiming, PoolView(18, active_requests), Prompt(60'000));
   CHECK(std::holds_alternative<Placement>(small));
-  const auto large = PlacePrompt(kTiming, View(18, works), Prompt(400'000));
+  const auto large =
+      PlacePrompt(kTiming, PoolView(18, active_requests), Prompt(400'000));
   CHECK(std::holds_alternative<NoCapacityNow>(large));
 }
 
 TEST_CASE("An engine's memory is never promised twice") {
-  std::vector<ActiveRequest> works;
-  for (BackendId it = 1; it <= 6; ++it) works.push_back(Writing(it, 300'000));
-  const auto placing = PlacePrompt(kTiming, View(6, works), Prompt(200'000));
-  const auto* none = std::get_if<NoCapacityNow>(&placing);
+  std::vector<ActiveRequest> active_requests;
+  for (BackendId it = 1; it <= 6; ++it)
+    active_requests.push_back(Decoding(it, 300'000));
+  const auto result =
+      PlacePrompt(kTiming, PoolView(6, active_requests), Prompt(200'000));
+  const auto* none = std::get_if<NoCapacityNow>(&result);
   REQUIRE(none != nullptr);
   CHECK(none->shortage == Shortage::kMemory);
 }
 
 TEST_CASE(
     "A prompt larger than one engine gets memory at several, all or none") {
-  const auto placing = PlacePrompt(kTiming, View(8, {}), Prompt(1'000'000));
-  const auto* placed = std::get_if<Placement>(&placing);
-  REQUIRE(placed != nullptr);
-  REQUIRE(placed->helper_tokens.size() == placed->helpers.size());
-  std::int64_t elsewhere = 0;
-  for (const auto it : placed->helper_tokens) {
+  const auto result = PlacePrompt(kTiming, PoolView(8, {}), Prompt(1'000'000));
+  const auto* placement = std::get_if<Placement>(&result);
+  REQUIRE(placement != nullptr);
+  REQUIRE(placement->helper_tokens.size() == placement->helpers.size());
+  std::int64_t tokens_at_helpers = 0;
+  for (const auto it : placement->helper_tokens) {
     CHECK(it % 16 == 0);
     CHECK(it <= kTiming.memory_tokens);
-    elsewhere += it;
+    tokens_at_helpers += it;
   }
-  CHECK(1'001'000 - elsewhere <= kTiming.memory_tokens);
-  std::vector<ActiveRequest> works;
-  for (BackendId it = 1; it <= 8; ++it) works.push_back(Writing(it, 350'000));
-  const auto full = PlacePrompt(kTiming, View(8, works), Prompt(1'000'000));
+  CHECK(1'001'000 - tokens_at_helpers <= kTiming.memory_tokens);
+  std::vector<ActiveRequest> active_requests;
+  for (BackendId it = 1; it <= 8; ++it)
+    active_requests.push_back(Decoding(it, 350'000));
+  const auto full =
+      PlacePrompt(kTiming, PoolView(8, active_requests), Prompt(1'000'000));
   CHECK(std::holds_alternative<NoCapacityNow>(full));
 }
 
 TEST_CASE("A prompt that no pool could hold is told at once") {
-  const auto placing = PlacePrompt(kTiming, View(3, {}), Prompt(2'000'000));
-  CHECK(std::holds_alternative<TooLarge>(placing));
+  const auto result = PlacePrompt(kTiming, PoolView(3, {}), Prompt(2'000'000));
+  CHECK(std::holds_alternative<TooLarge>(result));
 }
 
 TEST_CASE("Suspects get nothing") {
   std::vector<EngineView> engines = Engines(4);
   engines[0].suspected = true;
   const auto pool = BuildPoolView(kTiming, engines, {}, kNow);
-  const auto brief = PlacePrompt(kTiming, pool, Prompt(1000));
-  CHECK(std::get<Placement>(brief).backend == 2);
+  const auto first_result = PlacePrompt(kTiming, pool, Prompt(1000));
+  CHECK(std::get<Placement>(first_result).backend == 2);
   for (EngineView& it : engines) it.suspected = true;
   const auto none = PlacePrompt(
       kTiming, BuildPoolView(kTiming, engines, {}, kNow), Prompt(1000));
@@ -185,22 +199,24 @@
 // The first prompts of a burst were put four to an engine within some ms while
 // most engines had nothing to do; of the fourth the first token was late.
 TEST_CASE("While engines are idle a short prompt queues behind one at most") {
-  std::vector<ActiveRequest> works;
-  std::set<BackendId> most;
+  std::vector<ActiveRequest> active_requests;
+  std::set<BackendId> used;
   for (int i = 0; i < 30; ++i) {
-    const PlacementResult placing =
-        PlacePrompt(kTiming, View(60, works), Prompt(5000));
-    const auto* placed = std::get_if<Placement>(&placing);
-    REQUIRE(placed != nullptr);
-    works.push_back(Reading(placed->backend, {}, 5000));
-    const auto there = std::count_if(
-        works.begin(), works.end(),
-        [&](const ActiveRequest& it) { return it.backend == placed->backend; });
-    CHECK(there <= 2);
-    most.insert(placed->backend);
+    const PlacementResult result =
+        PlacePrompt(kTiming, PoolView(60, active_requests), Prompt(5000));
+    const auto* placement = std::get_if<Placement>(&result);
+    REQUIRE(placement != nullptr);
+    active_requests.push_back(Prefilling(placement->backend, {}, 5000));
+    const auto at_engine =
+        std::count_if(active_requests.begin(), active_requests.end(),
+                      [&](const ActiveRequest& it) {
+                        return it.backend == placement->backend;
+                      });
+    CHECK(at_engine <= 2);
+    used.insert(placement->backend);
   }
   // Dense all the same, so that long prompts find engines without short ones.
-  CHECK(most.size() <= 16);
+  CHECK(used.size() <= 16);
 }
 
 // The load of a scale day: prompts come at 39 engine-seconds of reading a
@@ -208,21 +224,21 @@
 // itself. Begun at once on all 17 engines that a request may name, it came 1.9
 // s late, made the first tokens of four others 4 to 7 s late, and five streams
 // pause for 3 to 4 s.
-const EngineTiming kSlower{.slots = 12,
-                           .memory_tokens = 344'250,
-                           .step_ms = 1.31,
-                           .step_ms_per_decoder = 0.000917,
-                           .context_ms_per_1000 = 0.00213,
-                           .prefill_tokens_per_ms = 154,
-                           .attention_ms_per_million_pairs = 0.162,
-                           .tokens_per_event = 38,
-                           .prefill_chunk_tokens = 2048,
-                           .hop_ms = 0.1};
+const EngineTiming kSlowTiming{.slots = 12,
+                               .memory_tokens = 344'250,
+                               .step_ms = 1.31,
+                               .step_ms_per_decoder = 0.000917,
+                               .context_ms_per_1000 = 0.00213,
+                               .prefill_tokens_per_ms = 154,
+                               .attention_ms_per_million_pairs = 0.162,
+                               .tokens_per_event = 38,
+                               .prefill_chunk_tokens = 2048,
+                               .hop_ms = 0.1};
 
-PlacementResult PlaceIn(const std::vector<EngineView>& pool,
-                        std::int64_t tokens, Duration until_due,
-                        Duration time_left) {
-  return PlacePrompt(kSlower, pool,
+PlacementResult PlaceBeforeDeadline(const std::vector<EngineView>& pool,
+                                    std::int64_t tokens, Duration until_due,
+                                    Duration time_left) {
+  return PlacePrompt(kSlowTiming, pool,
                      {.prompt_tokens = tokens,
                       .answer_tokens = 1000,
                       .until_due = until_due,
@@ -230,18 +246,21 @@
 }
 
 TEST_CASE("A prompt that can't be in time takes what its deadline needs") {
-  const std::int64_t huge = 900'000;
+  const std::int64_t huge_prompt = 900'000;
   // 71 s of reading: 4.2 s on 17 engines.
-  CHECK(PrefillTime(kSlower, huge).count() / 1'000'000 == 71);
-  const auto late = PlaceIn(Engines(60), huge, seconds(4), seconds(15));
+  CHECK(PrefillTime(kSlowTiming, huge_prompt).count() / 1'000'000 == 71);
+  const auto late =
+      PlaceBeforeDeadline(Engines(60), huge_prompt, seconds(4), seconds(15));
   REQUIRE(std::holds_alternative<Placement>(late));
   CHECK(std::get<Placement>(late).helpers.size() == 9);
   CHECK(std::get<Placement>(late).first_token < seconds(8));
   // With a longer objective it is in time, and gets all.
-  const auto timely = PlaceIn(Engines(60), huge, seconds(6), seconds(15));
+  const auto timely =
+      PlaceBeforeDeadline(Engines(60), huge_prompt, seconds(6), seconds(15));
   CHECK(std::get<Placement>(timely).helpers.size() == 16);
   // Nor does one that came too late by waiting stand in the way of others.
-  const auto waited = PlaceIn(Engines(60), 300'000, -seconds(1), seconds(10));
+  const auto waited =
+      PlaceBeforeDeadline(Engines(60), 300'000, -seconds(1), seconds(10));
   CHECK(std::get<Placement>(waited).helpers.size() == 1);
 }
 
@@ -253,9 +272,10 @@
     pool[i].prefill_backlog = milliseconds(20);
   }
   const auto helpers = [&](Duration until_due) {
-    const auto placing = PlaceIn(pool, 600'000, until_due, seconds(15));
-    const auto* placed = std::get_if<Placement>(&placing);
-    return placed == nullptr ? 0 : placed->helpers.size();
+    const auto result =
+        PlaceBeforeDeadline(pool, 600'000, until_due, seconds(15));
+    const auto* placement = std::get_if<Placement>(&result);
+    return placement == nullptr ? 0 : placement->helpers.size();
   };
   // 33 s: parts of 1.9 s, in time, and elsewhere 6.6 s on five engines.
   CHECK(helpers(seconds(4)) == 16);
