--- a/serving/src/deciding.cc
+++ b/serving/src/deciding.cc
@@ -8,13 +8,15 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// After a refusal for rests whose ends the daemon that places doesn't know.
+// Retry-After of a refusal because of backoffs. The daemon that places doesn't
+// know when the backoffs of the requesting daemon end.
 constexpr Duration kBackoffRetryAfter = milliseconds(500);
 
-// An engine that is back after a suspicion gets one short prompt at a time, and
-// after two in a row no part of a long one: most are suspected once, for an
-// answer that was cut, and engines that only read for long prompts have no
-// short one to show that they work.
+// An engine on probation gets one short prompt at a time, and no part of a long
+// prompt after two suspicions in a row. One suspicion doesn't exclude it from
+// long prompts: most engines are suspected once, for an interrupted response,
+// and engines that only prefill for long prompts have no short one to end their
+// probation with.
 void LimitEnginesOnProbation(const State& state, const PlacementDemand& demand,
                              const std::vector<const Backend*>& open,
                              std::vector<EngineView>& pool) {
@@ -28,7 +30,8 @@
   }
 }
 
-// An engine that has what ended two is left to it.
+// Adds to `suspected` the engines that run another fingerprint which has
+// crashed two servers, so that a further crash hits no new request.
 void AvoidEnginesWithCrashingRequests(
     const State& state, const PlacementDemand& demand,
     const std::vector<const ActiveRequest*>& active_requests,
@@ -66,8 +69,9 @@
   auto pool =
       BuildPoolView(timing, std::move(engines), active_requests, state.now);
   if (!all_suspected) LimitEnginesOnProbation(state, demand, open, pool);
-  // One that does not hear what others have begins anywhere, or all that place
-  // alone would fill the same engines.
+  // A daemon that doesn't receive the active requests of others starts at a
+  // random engine; otherwise all that place locally would fill the same
+  // engines.
   if (!ReceivesAllActiveRequests(state) && !pool.empty()) {
     const auto first_engine =
         static_cast<std::ptrdiff_t>(state.random() % pool.size());
@@ -88,8 +92,8 @@
       [&](const ActiveRequest* it) { return it->backend == id; }));
 }
 
-// The least busy backend server of a plain service; those in the data centre
-// of the daemon that sends first among equals.
+// Chooses the least busy backend server of a plain service; among equals, one
+// in the data centre of the sending daemon.
 PlacementDecision PlacePlainRequest(State& state, const PlacementDemand& demand,
                                     const std::vector<const Backend*>& open) {
   const auto active_requests = AllActiveRequests(state);
@@ -119,7 +123,7 @@
                    .first_token = demand.due - demand.arrived};
 }
 
-// Those that don't want rest from the daemon that sends it.
+// Removes the servers that the sending daemon backs off from.
 std::vector<const Backend*> WithoutBackingOff(
     const PlacementDemand& demand, std::vector<const Backend*> open) {
   std::erase_if(open, [&](const Backend* it) {
@@ -128,8 +132,11 @@
   return open;
 }
 
-// Where it goes, or that it waits, because of its content; nothing: wherever is
-// best. `timing`: nullptr for a plain service.
+// The placement that the request's fingerprint demands: at the server that its
+// isolation names, or none while a crash check is under way. Returns nullopt if
+// the fingerprint doesn't restrict the placement, or if the prompt needs the
+// memory of several engines. `timing` is nullptr for a
+// plain service.
 std::optional<PlacementDecision> PlaceByFingerprint(
     State& state, const PlacementDemand& demand, const EngineTiming* timing,
     const std::vector<const Backend*>& open) {
--- a/serving/src/dispatch.cc
+++ b/serving/src/dispatch.cc
@@ -5,37 +5,43 @@
 #include "internal/steps.h"
 #include "scaleshed/serving/reducer.h"
 
-// Prompts that a placer places for other daemons: what these ask, and what it
-// answers.
+// Placement for other daemons: how a daemon requests a placement from a placer,
+// and how a placer responds.
 namespace scaleshed::serving::internal {
 namespace {
 
-// A placer answers within some ms; then the next one is asked, at last nobody.
-// Short, as a first token in time leaves little: 50 ms for both.
+// A placer responds within some ms. After this timeout the daemon requests the
+// placement from the next placer, and in the end places locally. The objective
+// of the first token leaves little time: 50 ms for both placers.
 constexpr Duration kPlacerTimeout = milliseconds(25);
-// Those that stand in are asked after that wait: 100 ms for all, of 300 to the
-// first token of a short prompt.
+// Fallback placers are tried only after the placers have timed out. All placers
+// and fallback placers together take 100 ms, of the 300 ms until the first
+// token of a short prompt.
 constexpr Duration kFallbackPlacerTimeout = milliseconds(12);
-// One that was silent is passed over for so long: less than until it is known
-// to be gone, many times the wait for it.
+// A placer that timed out is skipped for this time: less than it takes until
+// the placer is known to be gone, and many times the timeout.
 constexpr Duration kPlacerSuspicionDuration = milliseconds(500);
-// Until the other hubs know, by their silence, that the placers are gone.
+// A fallback placer places for this time, until the other hubs know from
+// missing snapshots that the placers are gone.
 constexpr Duration kFallbackDuration = milliseconds(2500);
-// Those who wait ask again so often, and are forgotten when they don't.
+// The interval at which a daemon repeats the request for a queued prompt. The
+// placer drops a request that isn't repeated within kPlacementRequestExpiry.
 constexpr Duration kPlacementRepeatInterval = milliseconds(150);
 constexpr Duration kPlacementRequestExpiry = milliseconds(500);
-// What was placed and is not told by then is not begun: an answer's way, the
-// order for memory, the message about it.
+// A placement that the requesting daemon hasn't published as an active request
+// by then wasn't started. The time covers the response to that daemon, its
+// memory reservation and its snapshot.
 constexpr Duration kPublicationTimeout = milliseconds(600);
-// Between two looks for room at the head of the line, and for the outlook of
-// those behind it.
+// The interval at which a placer retries the first prompts of the queue. For
+// the prompts behind them, kQueueEstimateInterval is the interval at which
+// their queue estimate is updated.
 constexpr Duration kPlacementRetryInterval = milliseconds(10);
 constexpr Duration kQueueEstimateInterval = milliseconds(100);
 
 using RemotePlacementKey = std::pair<std::string, std::uint64_t>;
 
-// Placers that are not in doubt, then those that stand in for them, of which
-// this daemon may be one.
+// The first placer that isn't suspected, otherwise the first such fallback
+// placer, which may be this daemon; empty if there is none.
 std::string NextPlacer(const State& state) {
   const PlacementDuties& dispatch = state.dispatch;
   for (const auto* list : {&dispatch.placers, &dispatch.fallback_placers}) {
@@ -49,14 +55,16 @@
   return "";
 }
 
-// A daemon that found no placer asks this one.
+// Makes this daemon a fallback placer if it is a hub that doesn't receive all
+// active requests yet. Called when a placement is requested from this daemon,
+// or when it finds no other placer for its own request.
 void BecomeFallbackPlacer(State& state) {
   PlacementDuties& dispatch = state.dispatch;
   if (ReceivesAllActiveRequests(state) || !dispatch.is_hub) return;
   Log(state, "stands_in",
       {{"placers", std::to_string(dispatch.placers.size())}});
   dispatch.fallback_until = state.now + kFallbackDuration;
-  // Those that don't tell it that they live are told with the next whole one.
+  // The full snapshot also informs daemons that send this one no heartbeats.
   for (auto& [peer, due] : state.full_snapshot_due) due = state.now;
   state.has_unpublished_changes = true;
 }
@@ -153,7 +161,8 @@
       /*routine=*/true);
 }
 
-// Whether it still waits for a place.
+// Tries to place the prompt of another daemon, and responds with the outcome.
+// Returns true, without a response, if the prompt has to wait.
 bool TryPlace(State& state, RemotePlacement& remote) {
   const PlacementDecision decision =
       DecidePlacement(state, DemandOf(state, remote));
@@ -180,8 +189,8 @@
       decision);
 }
 
-// The placer doesn't know of limits that this daemon knows: it is told, and
-// asked as for another attempt.
+// Called when a placer doesn't know rate limits that this daemon knows:
+// publishes them again, and requests the placement as a new attempt.
 void RequestAgainAfterRateLimits(State& state, Request& request,
                                  const std::vector<BackendId>& backends) {
   Log(state, "placer_unaware",
@@ -224,7 +233,7 @@
   }
   if (request.placer.empty()) {
     state.effects.emplace_back(IncrementCounter{Counter::kPlacedLocally});
-    // Not at each look of one that waits for room.
+    // Logged once, not at each retry of a request that waits for capacity.
     if (!request.waits_for) {
       Log(state, "places_alone",
           {{"request", request.metadata.id},
@@ -301,7 +310,7 @@
     if (same) all.erase(before);
     return;
   }
-  // The answer may have been lost.
+  // The response may have been lost.
   if (same && before->second.placement) {
     Respond(state, before->second, PlacementOutcome::kPlaced);
     return;
@@ -309,8 +318,8 @@
   BecomeFallbackPlacer(state);
   const EngineTiming* timing = TimingOf(state, question.service);
   const bool known = timing != nullptr || question.prompt_tokens == 0;
-  // One that does not know what others have would place badly; another placer,
-  // or the daemon itself, does better.
+  // Without the active requests of all daemons the placement would be poor.
+  // Another placer, or the requesting daemon itself, places better.
   if (!known || !ReceivesAllActiveRequests(state)) return;
   RemotePlacement& remote = all[key];
   const auto waits_for = remote.waits_for;
@@ -338,8 +347,9 @@
     due.emplace_back(QueueKeyOf(state, it), key);
   }
   std::sort(due.begin(), due.end());
-  // Behind one that found no room nobody does: those are looked at more rarely,
-  // for their outlook.
+  // Behind a long prompt without capacity, no other long prompt of the service
+  // can be placed. Those are retried less often, to update their queue
+  // estimate.
   std::set<std::string> blocked_services;
   for (const auto& [queue_key, key] : due) {
     RemotePlacement& remote = all.at(key);
--- a/serving/src/long_placement.cc
+++ b/serving/src/long_placement.cc
@@ -8,30 +8,33 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// Reading that an engine may have before it when it gets a part of a long
-// prompt. Engines read the newest part first, and parts for others before
-// prompts of their own: whatever is begun before the last part is done delays
-// that one. So prompts wait at the daemons, where their order can be chosen.
+// The prefill backlog that an engine may have when it gets a part of a long
+// prompt. Engines prefill the newest part first, and parts for other engines
+// before prompts of their own, so a part that starts before the previous one is
+// done delays that one. Prompts therefore wait at the daemons, which choose
+// their order.
 constexpr Duration kMaxBacklogForPart = milliseconds(30);
-// Part of the engines that a long prompt is to be read by that must have room
-// before it starts: on few, it would stand in the way of others for long.
+// The share of the wanted engines that must have capacity before a long prompt
+// starts. On few engines it would block other prompts for long.
 constexpr double kMinGroupShare = 0.6;
-// A prompt is read in parts of about this and more: the passes around a part
-// take about as long, in which its engine reads nothing else. Measured over 24
-// days: 40, 80, 140 and 220 ms.
+// The prefill time of a part that is preferred at least. The engine steps
+// around a part take about as long, and the engine prefills nothing else in
+// them. The values compared over 24 days of load were 40, 80, 140 and 220 ms.
 constexpr Duration kPreferredMinPart = milliseconds(140);
-// Below this the pass costs several times the reading.
+// The shortest prefill time of a part. With less, the engine step around it
+// costs several times the prefill.
 constexpr Duration kMinPart = milliseconds(40);
-// Memory is handed out in blocks of so many tokens.
+// Engines reserve memory in blocks of this many tokens.
 constexpr std::int64_t kMemoryBlockTokens = 16;
-// Engines that long prompts leave alone, however few short ones there are.
+// Engines that long prompts don't use, however few short prompts there are.
 constexpr std::size_t kMinShortPromptEngines = 1;
-// Part of the longest pause that a part of a long prompt may fill where short
-// prompts are in work: others of these are read meanwhile.
+// The share of the allowed event gap that a part of a long prompt may fill on
+// an engine with short prompts, as more short prompts may be prefilled
+// meanwhile.
 constexpr double kEventGapShareBesideShortPrompts = 0.8;
 
 // The number of engines at the start of the order that are kept for short
-// prompts, from those that are there now.
+// prompts, derived from the short prompts that are active now.
 std::size_t EnginesForShortPrompts(const EngineTiming& timing,
                                    const std::vector<EngineView>& pool) {
   std::int64_t running = 0;
@@ -45,9 +48,9 @@
   return std::min(std::max(wanted + 1, kMinShortPromptEngines), max_engines);
 }
 
-// Whether a part that is read on this engine keeps the pauses of those who
-// write there in time. Short prompts are read there too, at any moment, so that
-// a part may take only some of what is left beside them.
+// Whether the streams of an engine keep their event gaps while it prefills a
+// part of the given prefill time. On an engine with short prompts, further ones
+// may arrive at any moment, so a part may fill only a share of the gap.
 bool KeepsEventGaps(const EngineTiming& timing, const EngineView& engine,
                     Duration part) {
   if (engine.running == 0) return true;
@@ -60,8 +63,8 @@
                                           kEventGapShareBesideShortPrompts);
 }
 
-// The engines that a long prompt may use at some time soon: those that short
-// prompts leave alone.
+// The engines that a long prompt may use soon, whatever their backlog is now:
+// those that short prompts don't use.
 std::vector<const EngineView*> EnginesOpenToLongPrompts(
     const EngineTiming& timing, const std::vector<EngineView>& pool) {
   const std::size_t kept_for_short = EnginesForShortPrompts(timing, pool);
@@ -75,7 +78,8 @@
       open.push_back(&pool[i]);
   }
   if (open.empty()) {
-    // Short prompts are everywhere: the last engines have the fewest.
+    // All engines have short prompts; the last ones in the order have the
+    // fewest.
     for (auto it = pool.rbegin();
          it != pool.rend() && open.size() < kMinLongPromptEngines; ++it) {
       const bool has_slot = it->running < timing.slots;
@@ -85,7 +89,8 @@
   return open;
 }
 
-// Engines with short prompts that have room for a small part beside them.
+// The engines with short prompts that have capacity for a small part of a long
+// prompt.
 std::vector<const EngineView*> ShortPromptEnginesWithCapacity(
     const EngineTiming& timing, const std::vector<EngineView>& pool,
     const std::vector<const EngineView*>& open) {
@@ -93,15 +98,16 @@
   for (const EngineView& it : pool) {
     const bool is_open = std::find(open.begin(), open.end(), &it) != open.end();
     if (is_open || it.suspected || it.helper_parts >= timing.slots) continue;
-    // One without any is kept for those that come.
+    // An engine without short prompts is kept for those that arrive next.
     if (it.short_running == 0) continue;
     if (KeepsEventGaps(timing, it, kMinPart)) beside.push_back(&it);
   }
   return beside;
 }
 
-// Shares a prompt's memory out: the rest after the tickets stays at `first`.
-// False where there is not enough.
+// Distributes the memory that a prompt needs: `decoder` takes what fits there,
+// the helpers reserve the rest. `tokens` gets the reservation of each helper.
+// Returns false if the memory isn't enough.
 bool DistributeMemory(const EngineTiming& timing, std::int64_t needed,
                       const EngineView& decoder,
                       const std::vector<const EngineView*>& helpers,
@@ -124,13 +130,13 @@
   return remaining <= 0;
 }
 
-// Can't keep its objective, however many engines read it.
+// Whether a prompt misses its objective however many engines prefill it.
 bool MissesObjective(Duration prefill_time, const PlacementQuery& query) {
   return prefill_time / static_cast<Duration::rep>(kMaxHelpersPerRequest + 1) >
          query.until_due;
 }
 
-// Enough to be read within half of the time that is left.
+// The number of engines that prefill a prompt within half of the time left.
 std::size_t EnginesForDeadline(Duration prefill_time, Duration time_left) {
   constexpr Duration kMinPrefillTime = milliseconds(100);
   return static_cast<std::size_t>(prefill_time /
@@ -138,11 +144,11 @@
          1;
 }
 
-// How many engines a prompt is to be read by, of those that have room soon. One
-// that can't keep its objective, however many read it, gets no more than it
-// needs before its deadline: 71 s of reading, spread at once over all that
-// could be named, came 1.9 s late all the same, and took the engines' time of
-// eight prompts of the usual 8.7 s.
+// The number of engines that should prefill a prompt, of those in `open`. A
+// prompt that misses its objective with any number of engines gets no more than
+// it needs to meet its deadline: one of 71 s of prefill, spread over as many
+// engines as a request may name, was still 1.9 s late and took the engine time
+// of eight prompts of the usual 8.7 s.
 std::size_t WantedEngines(const std::vector<const EngineView*>& open,
                           Duration prefill_time, const PlacementQuery& query) {
   auto parts = static_cast<std::size_t>(prefill_time / kPreferredMinPart);
@@ -153,10 +159,11 @@
       std::min({open.size(), parts, kMaxHelpersPerRequest + 1}), 1);
 }
 
-// The engine that reads the first part and writes the answer. One that has
-// requests of its own is taken before an empty one, so that few engines have
-// writers, who pause for every part that is read there. Where none has the
-// memory for all of a prompt that no engine could hold, the one with the most.
+// Chooses the engine that prefills the first part and decodes the response. An
+// engine with requests is preferred to an empty one, so that few engines have
+// streams, whose event gaps grow with each part that is prefilled there. For a
+// prompt that exceeds the memory of any engine, it is the one with the most
+// free memory. Returns nullptr if no engine qualifies.
 const EngineView* PickDecoder(const EngineTiming& timing,
                               const std::vector<const EngineView*>& eligible,
                               const PlacementQuery& query) {
@@ -174,18 +181,21 @@
   return best;
 }
 
-// The engines that read one long prompt together.
+// The engines that prefill one long prompt together: the one that decodes the
+// response, and its prefill helpers. `decoder` is nullptr if no group was
+// found.
 struct EngineGroup {
   const EngineView* decoder = nullptr;
   std::vector<const EngineView*> helpers;
 };
 
-// A longer part of a prompt that is late anyway goes to engines that have
-// nothing else: they read the newest part first, so that whatever is late there
-// by the estimate's error is late by the whole part. One prompt of 71 s of
-// reading, 4.2 s on each of 17 engines, made the first tokens of four others 4
-// to 7 s late and five streams pause for 3 to 4 s. One that can be in time does
-// not wait for idle engines: small pools seldom have enough of them.
+// Longer parts of a prompt that misses its objective go only to idle engines.
+// Engines prefill the newest part first, so a small error of the backlog
+// estimate delays the part before it by the whole new part. One prompt of 71 s
+// of prefill, 4.2 s on each of 17 engines, made the first tokens of four other
+// prompts 4 to 7 s late and caused event gaps of 3 to 4 s in five streams. A
+// prompt that can meet its objective doesn't wait for idle engines, as small
+// pools seldom have enough of them.
 constexpr Duration kLongPartPrefill = seconds(1);
 
 bool MayTakePart(const EngineTiming& timing, const EngineView& engine,
@@ -195,8 +205,9 @@
   return KeepsEventGaps(timing, engine, part);
 }
 
-// A gang of `size` from those whose writers don't pause too long for parts of
-// that size. Nothing of `writer` where there are too few, or no memory.
+// Forms a group of `size` engines from those in `ready` whose streams keep
+// their event gaps with parts of that size. The group has no decoder if too few
+// engines qualify or none has the memory.
 EngineGroup PickGroup(const EngineTiming& timing, const PlacementQuery& query,
                       const std::vector<const EngineView*>& ready,
                       std::size_t size) {
@@ -216,7 +227,8 @@
     if (it != group.decoder && it->prefilling == 0) group.helpers.push_back(it);
   }
   if (group.helpers.size() + 1 < size) return EngineGroup{};
-  // Those without requests of their own first, then those with the most memory.
+  // Engines with the fewest requests first, then those with the most free
+  // memory.
   std::stable_sort(group.helpers.begin(), group.helpers.end(),
                    [](const EngineView* a, const EngineView* b) {
                      if (a->running != b->running) {
@@ -228,8 +240,9 @@
   return group;
 }
 
-// A gang of about `wanted`: fewer if some are busy, or else more, whose smaller
-// parts more engines can take. Nothing of `writer` where there is none.
+// Forms a group of about `wanted` engines: fewer if some are busy, otherwise
+// more, as more engines can take the smaller parts. The group has no decoder if
+// none can be formed.
 EngineGroup FindGroup(const EngineTiming& timing, const PlacementQuery& query,
                       const std::vector<const EngineView*>& ready,
                       std::size_t wanted) {
@@ -250,8 +263,8 @@
   return {};
 }
 
-// Why no gang was found, for those who read the log and for the order of those
-// that wait.
+// Why no group of engines was found, for the log and for the order of the
+// waiting prompts.
 Shortage ShortageOf(const EngineTiming& timing, const PlacementQuery& query,
                     const std::vector<const EngineView*>& open) {
   const std::int64_t needed = query.prompt_tokens + query.answer_tokens;
--- a/serving/src/placement.cc
+++ b/serving/src/placement.cc
@@ -10,13 +10,15 @@
 namespace internal {
 namespace {
 
-// Requests that an engine gets before the next one in the order is used, as a
-// part of its slots: many, so that long prompts find engines without short
-// ones; but a full engine makes a new request wait for a slot when several
-// daemons choose at the same moment. Measured over 36 days: 0.6 while little
-// long reading is to be done, 0.85 and 0.95 always.
+// The share of an engine's slots that is filled before the next engine in the
+// order is used. A high share leaves long prompts engines without short ones,
+// but a full engine makes a request wait for a slot when several daemons choose
+// it at the same moment. The alternatives compared over 36 days of load were
+// 0.6 while little prefill of long prompts is due, and 0.85 and 0.95 at all
+// times.
 constexpr double kSlotFillShare = 0.9;
-// Memory left free, as answers may run longer than the whole blocks counted.
+// The rest of an engine's memory stays free, as responses may need more than
+// the whole blocks that are counted for them.
 constexpr double kUsableMemoryShare = 0.97;
 
 }  // namespace
@@ -40,28 +42,28 @@
 using internal::RequestsBeforeNextEngine;
 using internal::UsableMemoryTokens;
 
-// Reading before a short prompt that still keeps the pauses of those who write
-// there: the sites' shortest allowed pause is 200 ms, a pass without reading
-// takes about 45.
+// The prefill backlog, with a short prompt's own prefill, up to which the
+// streams of an engine keep their event gaps: the sites allow gaps of 200 ms or
+// more, and without prefill an event takes about 45 ms.
 constexpr Duration kMaxShortPromptBacklog = milliseconds(90);
-// While more than this part of the engines have nothing to do, a short prompt
-// does not queue behind two others: a burst that begins would fill one engine
-// with four in some ms, of which the last begins to write after 90 ms of
-// reading and two passes.
+// While more than this share of the engines is idle, a short prompt doesn't
+// queue behind two others. Otherwise the start of a burst fills one engine with
+// four prompts within some ms, and the last of them gets its first token only
+// after 90 ms of prefill and two engine steps.
 constexpr double kMostlyIdleShare = 0.5;
 constexpr Duration kMaxBacklogWhileMostlyIdle = milliseconds(45);
 
-// A part of a prompt that an engine has to read.
+// A prompt, or a part of one, that an engine has to prefill.
 struct PromptPart {
   Time started_at{};
   Duration duration{};
-  bool is_helper = false;  // the answer is written elsewhere
+  bool is_helper = false;  // another engine decodes the request
 };
 
-// How long a part takes beside its reading on an engine: it waits for the pass
-// under way there, half of one on average, and is read in the next one.
+// The time that a part takes on an engine besides its prefill: it waits for the
+// engine step under way, half a step on average, and is prefilled in the next.
 Duration StepsAroundPart(const EngineTiming& timing, const EngineView& engine) {
-  // For the way there and the turns between.
+  // Covers the network and the gaps between engine steps.
   constexpr Duration kMargin = milliseconds(20);
   if (engine.decoding == 0) return kMargin;
   const Duration step =
@@ -69,10 +71,10 @@
   return kMargin + step + step / 2;
 }
 
-// Parts are taken to be read one after another. A helper is free when its part
-// should be read; where the answer is written, a part that should be read but
-// is not is taken to be nearly done, and after a while to wait for another
-// engine.
+// Estimates the prefill backlog of an engine, assuming that it prefills its
+// parts one after another. A helper counts as free once its part should be
+// done. A part of the decoding engine that should be done but isn't counts as
+// nearly done, and after kMaxOverdueTime as waiting for another engine.
 Duration BacklogOf(std::vector<PromptPart> parts, Time now, Duration steps) {
   constexpr Duration kOverdueBacklog = milliseconds(50);
   constexpr Duration kMaxOverdueTime = milliseconds(300);
@@ -94,13 +96,14 @@
                   overdue_backlog);
 }
 
-// Daemons that place short prompts at the same moment, before they hear of each
-// other, take one of so many engines for each so many that are full: one that
-// gets several at once reads them one after another.
+// Daemons that place short prompts at the same moment don't know of each
+// other's choice yet. They choose at random among more engines the more are
+// full, one more for each so many, since an engine that gets several prompts at
+// once prefills them one after another.
 constexpr std::size_t kFullEnginesPerChoice = 8;
 
-// The number of engines from the start of the order that short prompts use
-// while there is any room on them.
+// The number of engines at the start of the order that short prompts use as
+// long as any of them has capacity.
 std::size_t EnginesOpenToShortPrompts(const std::vector<EngineView>& pool) {
   return pool.size() > 2 * kMinLongPromptEngines
              ? pool.size() - kMinLongPromptEngines
@@ -123,7 +126,8 @@
   const Duration prefill_time = PrefillTime(timing, query.prompt_tokens);
   const std::int64_t memory = query.prompt_tokens + query.answer_tokens;
   const auto expected_wait = [&](const EngineView& it) {
-    // Without a free slot the next writer to end decides; a full pass each.
+    // Without a free slot the prompt waits for requests to finish; each is
+    // taken to need one DecodeStepTime().
     const std::int64_t excess_requests =
         std::max<std::int64_t>(it.running - timing.slots + 1, 0);
     return it.prefill_backlog +
@@ -134,8 +138,9 @@
     return !it.suspected && it.running < max_running &&
            it.memory_used + memory <= UsableMemoryTokens(timing);
   };
-  // In order, while it costs nobody's pauses; then the least busy one of the
-  // same engines; then any.
+  // The first engines in the order whose streams keep their event gaps; if
+  // there is none, the least busy of the same engines, then the least busy of
+  // all.
   const std::size_t open = EnginesOpenToShortPrompts(pool);
   std::vector<const EngineView*> candidates;
   std::size_t max_candidates = 1;
--- a/serving/src/queue.cc
+++ b/serving/src/queue.cc
@@ -7,22 +7,24 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// A prompt gives way to those that came later by what reading it takes: what
-// is earned for a prompt grows more slowly than its reading, so short ones
-// first earns most for the engines' time. One that has missed its objective
-// earns about a quarter, and gives way by so many times as much.
+// A prompt lets others pass that arrive up to its own prefill time later: the
+// value of serving a prompt grows more slowly than its prefill time, so short
+// prompts first yield the most for the engines' time. A prompt that has missed
+// its objective is worth about a quarter, and lets others pass for this
+// multiple of its prefill time.
 constexpr int kLateQueueKeyFactor = 10;
-// Part of the time of the engines that long prompts get that is spent reading:
-// the rest goes to passes that write, and parts that wait for the slowest.
+// The share of their time that the engines for long prompts spend on prefill.
+// The rest goes to decoding, and to parts that wait for the slowest one.
 constexpr double kPrefillShare = 0.85;
-// A client may be asked to come back within this part of its time that is left;
-// it does not wait longer.
+// The longest Retry-After, as a share of the time until the client's deadline.
+// A client doesn't wait longer.
 constexpr double kMaxRetryAfterShare = 0.33;
 constexpr Duration kMinRetryAfter = milliseconds(200);
 
-// Waits for its turn, engines or one engine's memory. One that needs the memory
-// of several together lets others go on meanwhile; measured, letting all go on
-// that wait for memory starved them.
+// Whether a long prompt waits for its queue position, for engines or for the
+// memory of one engine, so that later prompts stay behind it. Others may pass a
+// prompt that waits for the combined memory of several engines. Letting them
+// pass every prompt that waits for memory starved such prompts.
 bool HoldsQueuePosition(const Request& request, const std::string& service) {
   return request.phase == Phase::kWaiting && request.service == service &&
          request.prefill_time > kShortPromptPrefillLimit &&
@@ -76,7 +78,7 @@
     ++estimate.ahead;
     prefill_ahead += prefill_time;
   };
-  // A prompt's own turn is not before itself.
+  // The prompt itself isn't counted, as its key isn't lower than its own.
   for (const auto& [key, it] : state.requests) {
     if (HoldsQueuePosition(it, demand.service))
       add_if_ahead(QueueKeyOf(state, it), it.prefill_time);
@@ -98,7 +100,7 @@
   }
   std::size_t short_prompts = 0;
   for (const ActiveRequest* it : AllActiveRequests(state)) {
-    // Plain requests have no prompt.
+    // Plain requests have no prompt to prefill.
     if (it->prompt_tokens == 0) continue;
     const Duration prefill_time = PrefillTime(timing, it->prompt_tokens);
     if (prefill_time <= kShortPromptPrefillLimit) ++short_prompts;
--- a/serving/src/start_meter.cc
+++ b/serving/src/start_meter.cc
@@ -5,10 +5,10 @@
 namespace scaleshed::serving {
 namespace {
 
-// Starts that are saved up while none is made, where the rate is high.
+// The bucket of a high rate holds the tokens of this time.
 constexpr double kBurstSeconds = 0.25;
-// What is owed beyond so long a time of the rate is forgiven: a server looks at
-// the last seconds.
+// The token deficit is limited to the tokens of this time, as a server checks
+// its rate limit over the last seconds only.
 constexpr double kMaxDeficitSeconds = 4;
 
 double SecondsOf(Duration duration) {
--- a/serving/src/starting.cc
+++ b/serving/src/starting.cc
@@ -8,38 +8,40 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// Tries at a request that did not run each time.
+// How often a request may be declined by backend servers and sent again.
 constexpr int kMaxDeclinedSends = 3;
-// Between two looks at a pool that had no room.
+// The interval at which placement is retried while the pool has no capacity.
 constexpr Duration kPlacementRetryInterval = milliseconds(10);
-// After memory was refused: about the time in which an answer ends.
+// The delay after a memory reservation was refused: about the time until some
+// response is complete and frees memory.
 constexpr Duration kMemoryRetryInterval = milliseconds(200);
-// Memory is set aside for so short a time, and again and again, that what a
-// daemon leaves behind when it dies lapses before it counts as lost (4 s).
+// Memory reservations have a short lease and are renewed, so that those of a
+// daemon that dies expire before the memory counts as lost (4 s).
 constexpr Duration kReservationLease = milliseconds(3500);
 constexpr Duration kReservationRenewInterval = milliseconds(900);
-// Memory is renewed only for an engine that was seen to live so short a time
-// ago, by an event or by its report: an engine that falls silent without
-// closing ends its request, and with the hold its memory lapses 3.8 s later,
-// within the 4 s after which it counts as lost. It is asked this often while it
-// says nothing: a report takes some ms.
+// Memory reservations are renewed only if the decoding engine gave a liveness
+// signal, an event or a report, within this time. When an engine falls silent
+// without closing the connection, its request has ended; with the lease, the
+// reserved memory is free 3.8 s later, within the 4 s after which it counts as
+// lost. While the engine sends no events, its report is fetched at
+// kLivenessProbeInterval; a report takes some ms.
 constexpr Duration kMaxLivenessSignalAge = milliseconds(300);
 constexpr Duration kLivenessProbeInterval = milliseconds(250);
-// Orders are answered within milliseconds, or not at all.
+// Engines answer a memory reservation within milliseconds, or not at all.
 constexpr Duration kReservationTimeout = milliseconds(400);
-// A stream's first event may be later than expected by this and by as much as
-// was expected, before another backend server is asked. Clients give up short
-// streams after two seconds of silence.
+// Another backend server is tried when a stream's first event takes longer than
+// twice the expected time plus this, or plus half of the objective if that is
+// longer. Clients give up short streams after two seconds of silence.
 constexpr Duration kFirstEventGrace = milliseconds(900);
-// A repeatable request without an answer is sent elsewhere after this multiple
-// of its objective.
+// A repeatable request without a response is sent elsewhere after this multiple
+// of its objective, but not before kMinHangTimeout.
 constexpr int kHangTimeoutObjectives = 3;
 constexpr Duration kMinHangTimeout = milliseconds(800);
 
 void SendAttempt(State& state, Request& request) {
   Backend* backend = FindBackend(state, request.backend);
-  // Setting memory aside took a while; a helper that leaves would refuse its
-  // part, and the prompt with it.
+  // Reserving memory took a while. A helper that is leaving by now would refuse
+  // its part, and the whole prompt would fail.
   std::vector<const Backend*> helpers;
   for (const BackendId it : request.active_request.helpers) {
     helpers.push_back(FindBackend(state, it));
@@ -50,20 +52,21 @@
   const bool helpers_ready =
       std::all_of(helpers.begin(), helpers.end(), takes_work);
   if (!takes_work(backend) || !helpers_ready || !AreBackendsUsable(state)) {
-    // Whoever placed it may not know yet that this one leaves, or wants rest.
+    // The placer may not know yet that this server is leaving, or asked for a
+    // backoff.
     if (!takes_work(backend)) request.excluded.insert(request.backend);
     Requeue(state, request, kPlacementRetryInterval);
     return;
   }
   if (RefuseIfQuarantined(state, request)) return;
-  // Whoever placed it may not know yet what is being asked.
+  // The placer may not know of the crash check yet.
   if (AwaitsCrashCheck(state, request.metadata.fingerprint)) {
     Requeue(state, request, kPlacementRetryInterval);
     return;
   }
   if (!CommitRetry(state, request)) {
-    // Room that was set aside is gone where requests have become fewer, or this
-    // daemon has lost its part of the slack.
+    // The reserved retry is no longer available if requests have become fewer,
+    // or if this daemon has lost its slack share.
     RefuseRequest(state, request,
                   request.may_have_run ? Refusal::kUnknown : Refusal::kNotRun,
                   kRetryAfterDeclined);
@@ -193,8 +196,8 @@
 }
 
 void QueueRequest(State& state, Request& request, Duration pause, Shortage of) {
-  // That it goes on waiting is no news: the others are told of what changed
-  // alone, each look at a full pool would be one more message to all of them.
+  // A request that goes on waiting is no change to publish. Otherwise each
+  // retry at a full pool would cost one more message to every recipient.
   const bool changed =
       request.phase != Phase::kWaiting || request.waits_for != of;
   if (request.waits_for != of) {
@@ -211,7 +214,7 @@
 }
 
 void TryStart(State& state, Request& request) {
-  // Where this daemon is late, a request may be too by now.
+  // If this daemon is running late, the request's deadline may have passed.
   if (state.now >= request.deadline) {
     RefuseRequest(state, request, Refusal::kTimeLimit, kPlacementRetryInterval);
     return;
@@ -227,8 +230,8 @@
                  Shortage::kCrashCheck);
     return;
   }
-  // After waiting and failing the configuration may be another one; the
-  // backend servers of the chosen service are still those that may run it.
+  // The configuration may have changed while the request waited or failed. Only
+  // the backend servers of the service chosen at arrival may run it.
   const auto open = OpenBackends(state, request.service);
   if (open.empty() || request.declined_sends > kMaxDeclinedSends) {
     const Duration retry_after = milliseconds(200);
@@ -238,8 +241,8 @@
     return;
   }
   if (RefuseIfAllBackingOff(state, request, open)) return;
-  // Of plain requests, a placer is asked for those that are to be counted over
-  // all daemons.
+  // Plain requests go to a placer only if a rate limit counts them over all
+  // daemons.
   const bool is_fleet_wide = TimingOf(state, request.service) != nullptr ||
                              AnyRateLimited(state, request.service);
   if (is_fleet_wide && !ReceivesAllActiveRequests(state)) {
@@ -319,8 +322,8 @@
 
 namespace {
 
-// Whether the engine that is to write lives, as far as can be known; asks it
-// where that is not known.
+// Whether the decoding engine gave a liveness signal recently. If not, fetches
+// its report as a liveness probe.
 bool IsBackendAlive(State& state, Request& request) {
   const bool alive =
       state.now - request.backend_alive_at <= kMaxLivenessSignalAge;
