--- a/serving/src/placement.cc
+++ b/serving/src/placement.cc
@@ -17,8 +17,8 @@
 // 0.6 while little prefill of long prompts is due, and 0.85 and 0.95 at all
 // times.
 constexpr double kSlotFillShare = 0.9;
-// The rest of an engine's memory stays free, as responses may need more than
-// the whole blocks that are counted for them.
+// The share of an engine's memory that placement uses. The rest stays free, as
+// responses may need more than the whole blocks that are counted for them.
 constexpr double kUsableMemoryShare = 0.97;
 
 }  // namespace
--- a/serving/test/dispatch_test.cc
+++ b/serving/test/dispatch_test.cc
@@ -1,8 +1,9 @@
-// Many daemons, of which two place the prompts of all.
+// Placement by two placers for all daemons of a large fleet.
 //
-// With 295 daemons on small machines each start, first event and end was told
-// to 294 others, and who lives too: 350,000 messages a second, in which
-// requests and answers waited. What is told must follow the requests.
+// Guards against messages that grow with the square of the fleet: with 295
+// daemons on small machines, each publishing every start, first event, end and
+// heartbeat to 294 others, 350,000 messages per second delayed requests and
+// responses. The number of messages must follow the number of requests.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -16,7 +17,7 @@
 
 using test::SimulatedFleet;
 
-constexpr std::int64_t kShortPromptTokens = 5000;  // tokens
+constexpr std::int64_t kShortPromptTokens = 5000;
 constexpr std::int64_t kLongPromptTokens = 300'000;
 
 std::size_t MessagesIn(SimulatedFleet& fleet, Duration time) {
@@ -25,10 +26,10 @@
   return fleet.messages() - before;
 }
 
-// Messages for each request beside those of idle daemons.
+// The messages that each request adds to those of an idle fleet.
 double MessagesPerRequest(int daemons) {
   SimulatedFleet fleet({.daemons = daemons, .data_centres = 5});
-  // A multiple of all periods of what is told without requests.
+  // A multiple of all intervals at which idle daemons publish.
   constexpr Duration kSpan = milliseconds(1600);
   const std::size_t idle = MessagesIn(fleet, kSpan);
   constexpr int kRequests = 40;
@@ -39,30 +40,31 @@
   return (static_cast<double>(busy) - static_cast<double>(idle)) / kRequests;
 }
 
-TEST_CASE("What a request costs in messages does not grow with the daemons") {
+TEST_CASE("The messages per request don't grow with the number of daemons") {
   const double in_small_fleet = MessagesPerRequest(40);
   const double in_large_fleet = MessagesPerRequest(160);
   CHECK(in_small_fleet < 12);
   CHECK(in_large_fleet < 12);
 }
 
-TEST_CASE("Who lives is told inside data centres and by few") {
+TEST_CASE("Heartbeats stay inside data centres, except those of few daemons") {
   SimulatedFleet fleet({.daemons = 160, .data_centres = 5});
   const std::size_t all_to_all = 160 * 159;
-  // Ten tell all, the others 31 and two placers.
+  // Ten daemons send heartbeats to all, the others to 31 and two placers.
   CHECK(MessagesIn(fleet, milliseconds(800)) < all_to_all / 3);
 }
 
-// Hubs told those of other data centres so rarely, as these don't tell them
-// anything, that each took them for gone every two seconds.
-TEST_CASE("Who is told that another lives does not doubt it in between") {
+// Guards against hubs sending heartbeats to other data centres, whose daemons
+// send them none, so rarely that each daemon took the hubs for gone every two
+// seconds.
+TEST_CASE("Heartbeat recipients don't take the sender for gone in between") {
   SimulatedFleet fleet({.daemons = 60, .data_centres = 5});
   const std::size_t lines = fleet.log_line_count("member");
   fleet.AdvanceTime(seconds(6));
   CHECK(fleet.log_line_count("member") == lines);
 }
 
-TEST_CASE("Up to sixteen daemons each hears all and places its own") {
+TEST_CASE("Up to sixteen daemons receive all snapshots and place locally") {
   SimulatedFleet fleet({.daemons = 16, .data_centres = 4});
   CHECK(fleet.state(0).dispatch.place_locally);
   CHECK(fleet.FirstPlacer() == -1);
@@ -76,11 +78,11 @@
   }
 }
 
-TEST_CASE("All agree on the placers, which are strong machines") {
+TEST_CASE("All daemons agree on the placers, which are strong machines") {
   SimulatedFleet fleet({.daemons = 60, .data_centres = 5});
   const auto placers = fleet.state(0).dispatch.placers;
   REQUIRE(placers.size() == 2);
-  // A data centre that is cut off takes one of them only.
+  // A data centre that is cut off takes only one of the placers with it.
   CHECK(std::stoi(placers[0].substr(1)) % 5 !=
         std::stoi(placers[1].substr(1)) % 5);
   for (int i = 0; i < 60; ++i)
@@ -90,18 +92,19 @@
   }
 }
 
-TEST_CASE("Prompts of one moment don't meet on one engine") {
+TEST_CASE("Prompts that arrive at one moment are spread over the engines") {
   SimulatedFleet fleet({.daemons = 60, .data_centres = 5, .engines = 30});
   for (int i = 0; i < 60; ++i) fleet.SendPrompt(i, kShortPromptTokens);
   fleet.AdvanceTime(milliseconds(60));
   CHECK(fleet.waits().size() == 60);
   int most = 0;
   for (const auto& [engine, n] : fleet.sends()) most = std::max(most, n);
-  // 60 prompts read one after another in fives keep 300 ms.
+  // Of 60 prompts, five prefilled one after another meet an objective of 300
+  // ms.
   CHECK(most <= 6);
 }
 
-TEST_CASE("Long prompts go in one order over all daemons") {
+TEST_CASE("Long prompts of all daemons are sent in one order") {
   SimulatedFleet fleet({.daemons = 40, .data_centres = 4, .engines = 8});
   std::vector<RequestKey> keys;
   for (int i = 0; i < 6; ++i) {
@@ -110,7 +113,7 @@
   }
   fleet.AdvanceTime(seconds(6));
   REQUIRE(fleet.waits().size() == 6);
-  // All alike: by arrival, so none that came later was sent before.
+  // Equal prompts are ordered by arrival, so none overtakes an earlier one.
   std::vector<Duration> sent;
   for (std::size_t i = 0; i < keys.size(); ++i) {
     sent.push_back(fleet.waits().at(keys[i]) + milliseconds(20) * int(i));
@@ -118,8 +121,8 @@
   CHECK(std::is_sorted(sent.begin(), sent.end()));
 }
 
-// A placer that stops in any way costs time, and no prompt.
-TEST_CASE("A frozen placer is passed over") {
+// A placer that stops in any way costs time, but no prompt is lost.
+TEST_CASE("A frozen placer is skipped") {
   SimulatedFleet fleet({.daemons = 40, .data_centres = 4});
   const int first = fleet.FirstPlacer();
   REQUIRE(first >= 0);
@@ -130,7 +133,8 @@
   }
   fleet.AdvanceTime(milliseconds(80));
   for (const RequestKey it : keys) REQUIRE(fleet.waits().contains(it));
-  // Once it is known to be gone, another one places, and nobody waits for it.
+  // Once the placer is known to be gone, another one places, and no prompt
+  // waits for the frozen one.
   fleet.AdvanceTime(seconds(3));
   const int other = first == 0 ? 1 : 0;
   CHECK(fleet.state(other).dispatch.placers.front() !=
@@ -149,12 +153,13 @@
   return frozen;
 }
 
-// Half of the daemons were killed at once, both placers among them. That these
-// were gone was known after 2 s; until then each daemon placed alone, and where
-// a prompt went depended on what that daemon itself had.
-TEST_CASE("A hub stands in at once for placers that died together") {
+// Guards against poor placement after half of the daemons, with both placers,
+// are killed at once. It takes 2 s until the placers are known to be gone;
+// until then each daemon placed locally, with only its own active requests to
+// go by.
+TEST_CASE("A hub at once replaces placers that died together") {
   SimulatedFleet fleet({.daemons = 40, .data_centres = 4, .engines = 24});
-  // Before, what others have at engines is known to the placers only.
+  // At first only the placers know the active requests of all daemons.
   for (int i = 20; i < 30; ++i) fleet.SendPrompt(i, kLongPromptTokens);
   fleet.AdvanceTime(milliseconds(20));
   const auto frozen = FreezePlacers(fleet);
@@ -168,7 +173,8 @@
   CHECK(fleet.log_line_count("places_alone") == 0);
   CHECK(fleet.log_line_count("stands_in") == 1);
   fleet.AdvanceTime(milliseconds(60));
-  // It is told what all have, and who comes now doesn't look for it.
+  // The fallback placer receives the active requests of all daemons, and is
+  // known to later requests.
   int fallback_placer = -1;
   for (int i = 0; i < 40; ++i) {
     if (!frozen.contains(i) && fleet.state(i).published_header.places)
@@ -182,7 +188,7 @@
   CHECK(active_requests > keys.size() / 2);
 }
 
-TEST_CASE("Without any hub a daemon places alone, not all on one engine") {
+TEST_CASE("Without hubs daemons place locally, spread over the engines") {
   SimulatedFleet fleet({.daemons = 40, .data_centres = 4, .engines = 24});
   std::set<int> frozen;
   for (int i = 0; i < 40; ++i) {
@@ -199,7 +205,7 @@
   CHECK(fleet.sends().size() > 12);
 }
 
-TEST_CASE("A prompt that waits for its turn outlives the placer it asked") {
+TEST_CASE("A queued prompt survives the placer that it was sent to") {
   SimulatedFleet fleet({.daemons = 40, .data_centres = 4, .engines = 8});
   const int first = fleet.FirstPlacer();
   int at = 0;
@@ -214,11 +220,13 @@
   for (const RequestKey it : keys) CHECK(fleet.waits().contains(it));
 }
 
-// Short prompts come steadily to all daemons, and one engine takes them and
-// says nothing more while its health check is good. Each daemon that met it
-// took that for the first time and kept it out for 0.5 s: 18 prompts of 6 s
-// were lost there, each for more than a second.
-TEST_CASE("An engine that hangs is met by few, and comes back once it works") {
+// Guards against each daemon learning by itself that an engine hangs. Short
+// prompts arrive steadily at all daemons, and one engine accepts them but sends
+// nothing, while its health check is good. Each daemon that used it counted a
+// first failure and suspected it for only 0.5 s: 18 of the prompts that arrived
+// in 6 s were stuck there for more than a second each.
+TEST_CASE(
+    "A hanging engine gets few prompts, and is used again once it works") {
   SimulatedFleet fleet({.daemons = 40, .data_centres = 4, .engines = 12});
   const auto load = [&](Duration time) {
     for (Duration at{}; at < time; at += milliseconds(20)) {
@@ -228,19 +236,19 @@
     }
   };
   load(seconds(1));
-  // One that gets some.
+  // The engine that gets the most prompts.
   std::string engine;
   for (const auto& [name, n] : fleet.sends()) {
     if (engine.empty() || n > fleet.sends().at(engine)) engine = name;
   }
   const auto sent = [&] { return fleet.sends().at(engine); };
   fleet.HangEngine(engine);
-  // Until the first of them is given up, more are sent.
+  // Until the first of the prompts times out, more are sent to the engine.
   load(seconds(2));
   const int before = sent();
   load(seconds(6));
   CHECK(sent() - before <= 4);
-  // It is kept out 8 s at most, and then used as before.
+  // The engine is suspected for 8 s at most, and then used as before.
   fleet.HangEngine(engine, false);
   load(seconds(9));
   const int back = sent();
@@ -248,7 +256,7 @@
   CHECK(sent() - back >= 5);
 }
 
-TEST_CASE("Look-ups name those of the own data centre, at most 64") {
+TEST_CASE("Look-ups name at most 64 daemons, of the own data centre") {
   SimulatedFleet fleet({.daemons = 280, .data_centres = 4, .engines = 4});
   const auto addresses = LookUpClientAddresses(fleet.state(1)).addresses;
   CHECK(addresses.size() == 64);
--- a/serving/test/placement_test.cc
+++ b/serving/test/placement_test.cc
@@ -7,7 +7,7 @@
 namespace scaleshed::serving {
 namespace {
 
-// The sites' engines, as their configurations tell them.
+// The engine timing that the sites configure.
 const EngineTiming kTiming{.slots = 16,
                            .memory_tokens = 450'000,
                            .step_ms = 0.925,
@@ -55,13 +55,13 @@
   return request;
 }
 
-TEST_CASE("Reading takes what the published formula says") {
+TEST_CASE("Prefill takes the time of the published formula") {
   CHECK(PrefillTime(kTiming, 256).count() / 1000 == 1);
   // 210,000 / 256 + 0.0917 x 210,000^2 / 2 / 10^6.
   CHECK(PrefillTime(kTiming, 210'000).count() / 1000 == 2842);
 }
 
-TEST_CASE("Short prompts fill the first engines, long ones keep off them") {
+TEST_CASE("Short prompts fill the first engines, long prompts avoid those") {
   std::vector<ActiveRequest> active_requests;
   std::set<BackendId> used;
   for (int i = 0; i < 20; ++i) {
@@ -85,7 +85,7 @@
   for (const BackendId it : placement->helpers) CHECK_FALSE(used.contains(it));
 }
 
-TEST_CASE("No part is begun where another is not read yet") {
+TEST_CASE("No part starts on an engine that still prefills another") {
   const auto first = PlacePrompt(kTiming, PoolView(8, {}), Prompt(210'000));
   const auto& placement = std::get<Placement>(first);
   const std::vector<ActiveRequest> active_requests{
@@ -95,9 +95,9 @@
   CHECK(std::holds_alternative<NoCapacityNow>(second));
 }
 
-TEST_CASE("Parts keep off engines whose writers would pause too long") {
+TEST_CASE("Parts avoid engines whose streams would exceed their event gap") {
   std::vector<ActiveRequest> active_requests;
-  // Reviews write on engine 5 and may pause for half a second at most.
+  // Engine 5 decodes a request whose event gap may be half a second at most.
   active_requests.push_back(Decoding(5, 45'000, milliseconds(500)));
   const auto result =
       PlacePrompt(kTiming, PoolView(6, active_requests), Prompt(400'000));
@@ -106,8 +106,10 @@
   for (const BackendId it : placement->helpers) CHECK(it != 5);
 }
 
-TEST_CASE("A helper is free when its part is read, before the answer begins") {
-  // 202 ms on each of 14 engines; engine 1 is kept for short prompts.
+TEST_CASE(
+    "A helper is free once its part is prefilled, before the first token") {
+  // The prompt takes 202 ms on each of 14 engines; engine 1 is kept for short
+  // prompts.
   ActiveRequest request =
       Prefilling(2, {3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, 210'000);
   request.started_at = kNow - milliseconds(150);
@@ -122,9 +124,9 @@
   for (const BackendId it : placement->helpers) CHECK(it != 2);
 }
 
-TEST_CASE("Fewer engines, whose parts are larger, keep the pauses too") {
-  // Nine of the engines are free. A ninth of this prompt takes 496 ms to read,
-  // a fourteenth would take 319.
+TEST_CASE("Larger parts on fewer engines still respect the event gaps") {
+  // Nine of the engines are free. A ninth of this prompt takes 496 ms to
+  // prefill, a fourteenth would take 319 ms.
   std::vector<ActiveRequest> active_requests{
       Prefilling(2, {3, 4, 5, 6}, 600'000)};
   active_requests.push_back(Decoding(15, 45'000, milliseconds(500)));
@@ -133,12 +135,13 @@
   CHECK(std::holds_alternative<NoCapacityNow>(result));
 }
 
-TEST_CASE("Small parts are read beside short prompts, large ones are not") {
+TEST_CASE("Only small parts are prefilled on engines with short prompts") {
   std::vector<ActiveRequest> active_requests;
   for (BackendId it = 1; it <= 18; ++it) {
     active_requests.push_back(Decoding(it, 2000, milliseconds(200)));
   }
-  // 18 ms on each of many, 300 ms on few.
+  // The small prompt takes 18 ms on each of many engines, the large one 300 ms
+  // on each of a few.
   const auto small =
       PlacePrompt(kTiming, PoolView(18, active_requests), Prompt(60'000));
   CHECK(std::holds_alternative<Placement>(small));
@@ -147,7 +150,7 @@
   CHECK(std::holds_alternative<NoCapacityNow>(large));
 }
 
-TEST_CASE("An engine's memory is never promised twice") {
+TEST_CASE("An engine's memory is never assigned twice") {
   std::vector<ActiveRequest> active_requests;
   for (BackendId it = 1; it <= 6; ++it)
     active_requests.push_back(Decoding(it, 300'000));
@@ -159,7 +162,7 @@
 }
 
 TEST_CASE(
-    "A prompt larger than one engine gets memory at several, all or none") {
+    "A prompt larger than one engine gets all its memory at several, or none") {
   const auto result = PlacePrompt(kTiming, PoolView(8, {}), Prompt(1'000'000));
   const auto* placement = std::get_if<Placement>(&result);
   REQUIRE(placement != nullptr);
@@ -179,12 +182,12 @@
   CHECK(std::holds_alternative<NoCapacityNow>(full));
 }
 
-TEST_CASE("A prompt that no pool could hold is told at once") {
+TEST_CASE("A prompt that exceeds the memory of the pool is too large at once") {
   const auto result = PlacePrompt(kTiming, PoolView(3, {}), Prompt(2'000'000));
   CHECK(std::holds_alternative<TooLarge>(result));
 }
 
-TEST_CASE("Suspects get nothing") {
+TEST_CASE("Suspected engines get no prompts") {
   std::vector<EngineView> engines = Engines(4);
   engines[0].suspected = true;
   const auto pool = BuildPoolView(kTiming, engines, {}, kNow);
@@ -196,9 +199,11 @@
   CHECK(std::holds_alternative<NoCapacityNow>(none));
 }
 
-// The first prompts of a burst were put four to an engine within some ms while
-// most engines had nothing to do; of the fourth the first token was late.
-TEST_CASE("While engines are idle a short prompt queues behind one at most") {
+// Guards against the start of a burst, within some ms, placing four prompts on
+// one engine while most engines are idle: the first token of the fourth was
+// late.
+TEST_CASE(
+    "While most engines are idle a short prompt queues behind one at most") {
   std::vector<ActiveRequest> active_requests;
   std::set<BackendId> used;
   for (int i = 0; i < 30; ++i) {
@@ -215,15 +220,16 @@
     CHECK(at_engine <= 2);
     used.insert(placement->backend);
   }
-  // Dense all the same, so that long prompts find engines without short ones.
+  // The prompts still share few engines, so that long prompts find engines
+  // without short ones.
   CHECK(used.size() <= 16);
 }
 
-// The load of a scale day: prompts come at 39 engine-seconds of reading a
-// second to 60 engines, by the published formula, and one of them takes 71 by
-// itself. Begun at once on all 17 engines that a request may name, it came 1.9
-// s late, made the first tokens of four others 4 to 7 s late, and five streams
-// pause for 3 to 4 s.
+// Engine timing of a load at which 60 engines get 39 engine-seconds of prefill
+// per second by the published formula, with one prompt that takes 71 s by
+// itself. Started at once on all 17 engines that a request may use, it was 1.9
+// s late, made the first tokens of four other prompts 4 to 7 s late, and caused
+// event gaps of 3 to 4 s in five streams.
 const EngineTiming kSlowTiming{.slots = 12,
                                .memory_tokens = 344'250,
                                .step_ms = 1.31,
@@ -245,27 +251,29 @@
                       .time_left = time_left});
 }
 
-TEST_CASE("A prompt that can't be in time takes what its deadline needs") {
+TEST_CASE(
+    "A prompt that misses its objective gets the engines its deadline needs") {
   const std::int64_t huge_prompt = 900'000;
-  // 71 s of reading: 4.2 s on 17 engines.
+  // The prefill takes 71 s, or 4.2 s on each of 17 engines.
   CHECK(PrefillTime(kSlowTiming, huge_prompt).count() / 1'000'000 == 71);
   const auto late =
       PlaceBeforeDeadline(Engines(60), huge_prompt, seconds(4), seconds(15));
   REQUIRE(std::holds_alternative<Placement>(late));
   CHECK(std::get<Placement>(late).helpers.size() == 9);
   CHECK(std::get<Placement>(late).first_token < seconds(8));
-  // With a longer objective it is in time, and gets all.
+  // With a longer objective the prompt can meet it, and gets the most engines.
   const auto timely =
       PlaceBeforeDeadline(Engines(60), huge_prompt, seconds(6), seconds(15));
   CHECK(std::get<Placement>(timely).helpers.size() == 16);
-  // Nor does one that came too late by waiting stand in the way of others.
+  // A prompt that missed its objective by waiting doesn't block others either.
   const auto waited =
       PlaceBeforeDeadline(Engines(60), 300'000, -seconds(1), seconds(10));
   CHECK(std::get<Placement>(waited).helpers.size() == 1);
 }
 
-TEST_CASE("Long parts of a late prompt go to engines that have nothing else") {
-  // Of 30 engines 28 read a part for another prompt that is nearly done.
+TEST_CASE(
+    "Long parts of a prompt that misses its objective go to idle engines") {
+  // Of 30 engines, 28 prefill a part of another prompt that is nearly done.
   std::vector<EngineView> pool = Engines(30);
   for (std::size_t i = 2; i < 30; ++i) {
     pool[i].helper_parts = 1;
@@ -277,7 +285,8 @@
     const auto* placement = std::get_if<Placement>(&result);
     return placement == nullptr ? 0 : placement->helpers.size();
   };
-  // 33 s: parts of 1.9 s, in time, and elsewhere 6.6 s on five engines.
+  // The prefill takes 33 s: 1.9 s per part if the objective can be met,
+  // otherwise 6.6 s on each of five engines.
   CHECK(helpers(seconds(4)) == 16);
   CHECK(helpers(seconds(1)) == 0);
   for (EngineView& it : pool) it = {.id = it.id};
--- a/serving/test/start_meter_test.cc
+++ b/serving/test/start_meter_test.cc
@@ -13,7 +13,7 @@
   return limiter;
 }
 
-TEST_CASE("A meter begins without a start and saves one") {
+TEST_CASE("A rate limiter starts empty and holds one token") {
   StartRateLimiter limiter = LimiterOf(2);
   CHECK_FALSE(limiter.HasToken(kStart));
   CHECK(limiter.TimeUntilToken(kStart) == milliseconds(500));
@@ -23,7 +23,7 @@
   CHECK_FALSE(limiter.HasToken(later));
 }
 
-TEST_CASE("A high rate saves a short time's worth") {
+TEST_CASE("At a high rate the bucket holds the tokens of a quarter second") {
   StartRateLimiter limiter = LimiterOf(100);
   const Time later = kStart + seconds(60);
   int starts = 0;
@@ -31,7 +31,7 @@
   CHECK(starts == 25);
 }
 
-TEST_CASE("Starts of others beyond it are owed, for some seconds at most") {
+TEST_CASE("The token deficit is limited to a few seconds of the rate") {
   StartRateLimiter limiter = LimiterOf(2);
   const Time later = kStart + seconds(60);
   for (int i = 0; i < 3; ++i) limiter.TakeToken(later);
@@ -40,7 +40,7 @@
   CHECK(limiter.TimeUntilToken(later) == milliseconds(4500));
 }
 
-TEST_CASE("A rate that changes counts from then on") {
+TEST_CASE("A changed rate applies from the time of the change") {
   StartRateLimiter limiter = LimiterOf(1);
   const Time later = kStart + milliseconds(500);
   limiter.SetRate(later, 100);
