--- a/serving/src/starting.cc
+++ b/serving/src/starting.cc
@@ -20,10 +20,10 @@
 constexpr Duration kReservationLease = milliseconds(3500);
 constexpr Duration kReservationRenewInterval = milliseconds(900);
 // Memory reservations are renewed only if the decoding engine gave a liveness
-// signal, an event or a report, within this time. When an engine falls silent
-// without closing the connection, its request has ended; with the lease, the
-// reserved memory is free 3.8 s later, within the 4 s after which it counts as
-// lost. While the engine sends no events, its report is fetched at
+// signal, an event or a report, within this time. The request of an engine that
+// falls silent without closing the connection counts as ended; with the lease,
+// its reserved memory is free 3.8 s later, within the 4 s after which memory
+// counts as lost. While the engine sends no events, its report is fetched at
 // kLivenessProbeInterval; a report takes some ms.
 constexpr Duration kMaxLivenessSignalAge = milliseconds(300);
 constexpr Duration kLivenessProbeInterval = milliseconds(250);
