--- a/serving/include/scaleshed/serving/configuration.h
+++ b/serving/include/scaleshed/serving/configuration.h
@@ -14,12 +14,12 @@
 
 namespace scaleshed::serving {
 
-// What may be done with a request whose answer did not come.
+// What may be done with a request whose response did not arrive.
 enum class RequestKind {
   kOnce,             // runs at most once
   kRepeatable,       // may run again at another backend server
   kOnceStream,       // a stream that runs at most once
-  kResumableStream,  // a stream that another backend server can go on with
+  kResumableStream,  // a stream that another backend server can continue
 };
 inline constexpr NameTable<RequestKind, 4> kRequestKindNames{{
     {RequestKind::kOnce, "once"},
@@ -37,52 +37,67 @@
          kind == RequestKind::kResumableStream;
 }
 
-// How long a model engine takes, as the operators' configuration tells it.
+// Capacity and speed of the model engines of a service, as the operators'
+// configuration states them. Placing estimates from it how long an engine takes
+// for a prompt and for the decoding of responses.
 struct EngineTiming {
-  std::int64_t slots = 0;            // requests at once
-  std::int64_t memory_tokens = 0;    // of prompts and answers together
-  double step_ms = 0;                // one token for each writing request
-  double step_ms_per_decoder = 0;    // more for each writing request, a step
-  double context_ms_per_1000 = 0;    // more for each 1,000 tokens of context
-  double prefill_tokens_per_ms = 1;  // of prompts
-  double attention_ms_per_million_pairs =
-      0;  // for pairs of a token and one before it
+  std::int64_t slots = 0;          // requests at the same time
+  std::int64_t memory_tokens = 0;  // for prompts and responses together
+  // Base time of an engine step, which yields one token for each decoding
+  // request.
+  double step_ms = 0;
+  double step_ms_per_decoder = 0;    // added to a step for each such request
+  double context_ms_per_1000 = 0;    // added for each 1,000 tokens of context
+  double prefill_tokens_per_ms = 1;  // prefill speed
+  // Attention time of a prefill, for pairs of a token and an earlier one.
+  double attention_ms_per_million_pairs = 0;
   std::int64_t tokens_per_event = 1;
-  std::int64_t prefill_chunk_tokens = 0;  // read at most in one step
-  double hop_ms = 0;  // a step of a prompt on several engines
+  std::int64_t prefill_chunk_tokens = 0;  // prefilled at most in one step
+  // For each step of a prompt that several engines prefill.
+  double hop_ms = 0;
 };
 
+// A service of the configuration: a kind of backend server that routes send
+// requests to.
 struct Service {
   std::string name;
-  std::int64_t max_connections = 0;    // of one backend server, all callers
+  // To one backend server, from all callers together.
+  std::int64_t max_connections = 0;
   std::optional<EngineTiming> engine;  // model services only
 };
 
+// A service to which a route sends requests, with the weight that sets its part
+// of them relative to the route's other services.
 struct ServiceShare {
   std::string service;
   std::int64_t weight = 1;
 };
 
+// A route of the configuration: which requests it matches (by host and path
+// prefix) and how they are served. ConfigurationIndex finds the route of a
+// request.
 struct Route {
   std::string name;
   std::string host;
   std::string path_prefix;
   RequestKind kind = RequestKind::kOnce;
-  Duration timeout{};        // the longest time to hold a request
-  Duration objective{};      // to the answer, or to a stream's first event
-  Duration max_event_gap{};  // between a stream's events; zero: not told
+  Duration timeout{};        // the longest time that a request may take
+  Duration objective{};      // to the response, or to a stream's first event
+  Duration max_event_gap{};  // between a stream's events; zero: unspecified
   int priority = 0;          // 0 goes first
   std::vector<ServiceShare> shares;
-  int max_sends = 1;  // backend servers that may get one request
+  int max_sends = 1;  // backend servers that one request may be sent to
   bool is_public = false;
 };
 
+// A client account with the keys that authenticate its requests.
 struct ClientAccount {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<int> priority;
+  std::optional<int> priority;  // nothing: that of the route
 };
 
+// Limits of size and time for the requests that a daemon reads from clients.
 struct RequestLimits {
   std::int64_t max_header_bytes = 0;
   std::int64_t max_body_bytes = 0;
@@ -90,12 +105,14 @@
   Duration idle_timeout{};
 };
 
-// One accepted configuration.
+// An accepted configuration: the routes, services and client accounts by which
+// daemons serve. A newer one replaces it as a whole.
 struct Configuration {
-  // As it is stored, for daemons that lack it; may be missing.
+  // The text as it is stored, for daemons that lack this configuration; may be
+  // missing.
   std::shared_ptr<const std::string> document;
   StoreRevision revision;
-  std::int64_t version = 0;  // the operators' own count: it only rises
+  std::int64_t version = 0;  // set by the operators; it only rises
   std::vector<Route> routes;
   std::map<std::string, Service> services;
   std::vector<ClientAccount> accounts;
@@ -106,21 +123,23 @@
   }
 };
 
-// Finds routes and accounts of one configuration.
+// Finds the routes, accounts and services of one configuration. The pointers
+// that it returns are valid as long as the index.
 class ConfigurationIndex {
  public:
   ConfigurationIndex() = default;
   explicit ConfigurationIndex(Configuration configuration);
 
   const Configuration& configuration() const { return configuration_; }
-  // The route with the longest prefix of `path`; nullptr where there is none.
+  // Returns the route of `host` whose prefix is the longest that `path` begins
+  // with; nullptr if there is none.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
   const ClientAccount* FindAccount(std::string_view key) const;
   const Service* FindService(const std::string& name) const;
 
  private:
   Configuration configuration_;
-  // Indexes of routes by host, longest prefix first.
+  // Indexes into the routes by host, the longest prefix first.
   std::map<std::string, std::vector<std::size_t>, std::less<>> by_host_;
   std::map<std::string, std::size_t, std::less<>> by_key_;
 };
--- a/serving/include/scaleshed/serving/store_relay.h
+++ b/serving/include/scaleshed/serving/store_relay.h
@@ -12,9 +12,10 @@
 
 namespace scaleshed::serving {
 
-// A backend server as the platform's store lists it. It may start again under
-// the same id: `born` tells its lives apart, and a later life knows and holds
-// nothing of an earlier one.
+// A backend server as its entry in the platform's store describes it. The
+// server may start again under the same id: `start_unix_ms` tells its
+// incarnations apart, and a later incarnation knows and holds nothing of an
+// earlier one.
 struct BackendServer {
   std::string id;
   std::string service;
@@ -22,53 +23,62 @@
   std::string data_centre;
   std::int64_t slots = 1;
   bool leaving = false;
-  StoreRevision revision;  // of its entry
-  std::uint64_t start_unix_ms =
-      0;  // start of this life, Unix ms; zero: not told
-  // Why the entry names no backend server to use; empty: it names one. Anybody
-  // may have written it, so that nothing else of it counts then.
+  StoreRevision revision;  // of the store entry
+  // Start time of this incarnation in Unix ms; zero: unknown.
+  std::uint64_t start_unix_ms = 0;
+  // Why the entry names no usable backend server; empty: the entry is usable.
+  // Any process may have written a faulty entry, so that its other fields are
+  // ignored.
   std::string entry_error;
 };
 
-// All that a daemon knows of the store, to be compared with what another one
-// knows: equal digests mean equal entries.
+// A digest of the store state that a daemon knows. Two daemons compare their
+// digests to find out whether they know the same: equal digests mean equal
+// entries.
 struct StoreDigest {
   ConfigurationStamp configuration;
-  // A hash of ids, of the entries and of their revisions within the era.
+  // A hash over the ids, the entries and their revisions within the epoch.
   std::uint64_t backends = 0;
   std::uint64_t crashes = 0;  // Quarantine::digest
   bool operator==(const StoreDigest&) const = default;
 };
 
-// An entry of a backend server that came, changed or went.
+// A store entry of a backend server that was added, changed or deleted. Relays
+// carry it from store pollers to the other daemons.
 struct BackendChange {
   std::string id;
   StoreRevision revision;
-  std::optional<BackendServer> server;  // nothing: the entry is gone
-  bool certain = true;                  // see BackendUnlisted
+  std::optional<BackendServer> server;  // nothing: the entry was deleted
+  bool certain = true;                  // as in BackendUnlisted
 };
 
-// What a daemon that asks the store tells those that don't. Any of these may be
-// lost, doubled or late: a change says its revision, and a proof says what the
-// asker last heard of the receiver, so that nothing gets younger on its way.
+// A message in which a store poller relays the state of the store to the
+// daemons of its data centre that don't poll. A relay may be lost, duplicated
+// or delayed: each change therefore carries its revision, and a freshness
+// confirmation carries the number of the last snapshot that the poller received
+// from the receiver, so that a delay can't make a confirmation look more recent
+// than it is.
 struct StoreRelay {
-  std::string peer_address;  // who asked
-  std::uint64_t epoch = 0;   // of the store, as last heard
-  StoreDigest digest;        // of what it knows
+  std::string peer_address;  // of the poller
+  std::uint64_t epoch = 0;   // of the store, as last observed
+  StoreDigest digest;        // of the state that the poller knows
   std::vector<BackendChange> changes;
   std::vector<StoredCrashes> crashes;
-  // The store's revision up to which it has been told of every change.
+  // The store's revision up to which the poller knows every change.
   StoreRevision complete_up_to;
-  // How long ago it put the question whose answer was that the entries of
-  // `digest` are the newest; nothing: no proof, news only.
+  // How long ago the poller sent the store query whose response was that the
+  // backend entries of `digest` are the newest; nothing: the relay doesn't
+  // confirm them and carries changes only.
   std::optional<Duration> backends_age;
-  // The same of the configuration.
+  // How long ago the poller sent the store query whose response was that the
+  // configuration of `digest` is the newest; nothing: not confirmed.
   std::optional<Duration> configuration_age;
-  // How many daemons had an entry so long ago; with a proof only. No entries
-  // were counted where there is no age.
+  // How many daemons had an entry in the store `daemons_age` ago; set only with
+  // a freshness confirmation. No age: the entries weren't counted.
   std::size_t daemons = 0;
   std::optional<Duration> daemons_age;
-  // The receiver's last snapshot that the asker had when it sent this.
+  // Incarnation and sequence number of the last snapshot of the receiver that
+  // the poller had when it sent this relay.
   std::uint64_t heard_incarnation = 0;
   std::uint64_t heard_sequence = 0;
 };
--- a/serving/src/internal/durations.h
+++ b/serving/src/internal/durations.h
@@ -14,8 +14,9 @@
       static_cast<Duration::rep>(static_cast<double>(whole.count()) * part));
 }
 
-// Until a client comes back whose request backend servers declined or may not
-// get again: some answers end within it.
+// The delay after which a client may retry a request that backend servers
+// declined or that may not be sent again: some responses end within this time
+// and free capacity.
 inline constexpr Duration kRetryAfterDeclined = milliseconds(150);
 
 }  // namespace scaleshed::serving::internal
