--- a/serving/src/store_eras.cc
+++ b/serving/src/store_eras.cc
@@ -14,81 +14,83 @@
 // Whoever wrote to the store has the time to write it again: entries of backend
 // servers come with the second heartbeat at the latest. What the copy holds
 // after that is taken for what was there last.
-constexpr Duration kSettlesWithin = milliseconds(2500);
+constexpr Duration kReconciliationTime = milliseconds(2500);
 // An entry of a backend server that has gone lapses within three heartbeats.
-constexpr Duration kCopyLapses = seconds(5);
+constexpr Duration kRestoredTombstoneTime = seconds(5);
 // A daemon that starts waits for a word of so many others before the store
 // alone proves its configuration: they may know of a restore, unless they have
 // just started too.
-constexpr std::size_t kFewOthers = 4;
+constexpr std::size_t kSufficientPeers = 4;
 // No longer than that where it hears some, or nobody: entries outlast daemons,
 // and a copy may lack those of daemons that live.
-constexpr Duration kHearsFewFor = milliseconds(400);
-constexpr Duration kHearsNobodyFor = seconds(1);
+constexpr Duration kMaxWaitWithFewPeers = milliseconds(400);
+constexpr Duration kMaxWaitWithoutPeers = seconds(1);
 
 // One of the daemons that lead their data centres' questions notes that an era
 // is settled; the others see it by then.
-constexpr Duration kNoteWithin = seconds(1);
+constexpr Duration kMaxRecordDelay = seconds(1);
 // Unless the note is seen, it is written again.
-constexpr Duration kNoteAgain = seconds(4);
+constexpr Duration kRecordRetryInterval = seconds(4);
 
 // Nothing has proved its configuration yet.
 bool IsStarting(const State& state) { return state.confirmed_at == Time{}; }
 
 // The newest that this daemon has or has heard of.
 ConfigurationStamp NewestStamp(const State& state) {
-  const ConfigurationStamp& heard = state.store.read_wanted;
-  return IsNewer(heard, StampOf(state)) ? heard : StampOf(state);
+  const ConfigurationStamp& wanted = state.store.read_wanted;
+  return IsNewer(wanted, StampOf(state)) ? wanted : StampOf(state);
 }
 
-bool HasHeardOthers(const State& state) {
+bool HasHeardFromPeers(const State& state) {
   // A store that tells no era is not known to have been restored.
   if (state.store.epoch.number == 0 || !IsStarting(state)) return true;
   // With the peers the store told which era was settled last.
   if (!state.peers_listed) return false;
-  const auto heard = static_cast<std::size_t>(
+  const auto live_peers = static_cast<std::size_t>(
       std::count_if(state.members.begin(), state.members.end(),
                     [&](const auto& it) { return IsLive(state, it.second); }));
   const Duration waited = state.now - state.started_at;
-  if (heard == 0) return waited >= kHearsNobodyFor;
-  const bool hears_enough =
-      heard >= std::min(state.listed_peers.size(), kFewOthers);
-  return hears_enough || waited >= kHearsFewFor;
+  if (live_peers == 0) return waited >= kMaxWaitWithoutPeers;
+  const bool has_enough_peers =
+      live_peers >= std::min(state.listed_peers.size(), kSufficientPeers);
+  return has_enough_peers || waited >= kMaxWaitWithFewPeers;
 }
 
-void Settle(State& state, const std::string& why) {
-  StoreEpoch& era = state.store.epoch;
-  if (std::exchange(era.reconciled, true)) return;
+void MarkReconciled(State& state, const std::string& reason) {
+  StoreEpoch& epoch = state.store.epoch;
+  if (std::exchange(epoch.reconciled, true)) return;
   state.has_unpublished_changes = true;
-  era.record_due = state.now + RandomDuration(state, kNoteWithin);
+  epoch.record_due = state.now + RandomDuration(state, kMaxRecordDelay);
   // Now a question can prove the configuration.
   state.store.poll_due = state.now;
   Log(state, "store_settled",
-      {{"era", std::to_string(era.number)}, {"why", why}});
+      {{"era", std::to_string(epoch.number)}, {"why", reason}});
 }
 
 // A daemon that starts hears of a restore that the others know, or that none of
 // them was there to notice.
-void JoinRestore(State& state, Duration unsettled_for) {
-  StoreEpoch& era = state.store.epoch;
-  era.restored_at = era.restored_at.value_or(state.now);
-  era.reconciled = false;
-  era.reconciled_at = std::max(era.reconciled_at, state.now + unsettled_for);
+void AdoptRestore(State& state, Duration reconciling_for) {
+  StoreEpoch& epoch = state.store.epoch;
+  epoch.restored_at = epoch.restored_at.value_or(state.now);
+  epoch.reconciled = false;
+  epoch.reconciled_at =
+      std::max(epoch.reconciled_at, state.now + reconciling_for);
 }
 
 // The operators wrote it since the restore, so that it is their newest.
 bool IsRewritten(const State& state, const ConfigurationStamp& stored) {
-  const StoreEpoch& era = state.store.epoch;
-  const StoreRevision& at = stored.revision;
+  const StoreEpoch& epoch = state.store.epoch;
+  const StoreRevision& stored_revision = stored.revision;
   const ConfigurationStamp known = StampOf(state);
-  const bool moved = known.version == stored.version &&
-                     known.revision.epoch + 1 == at.epoch &&
-                     known.revision.number != at.number;
-  const bool is_later =
-      era.first_revision_number != 0 && at.number > era.first_revision_number;
-  const bool changed = era.stored_configuration.revision.number != 0 &&
-                       at.number > era.stored_configuration.revision.number;
-  return moved || is_later || changed;
+  const bool has_moved = known.version == stored.version &&
+                         known.revision.epoch + 1 == stored_revision.epoch &&
+                         known.revision.number != stored_revision.number;
+  const bool is_later = epoch.first_revision_number != 0 &&
+                        stored_revision.number > epoch.first_revision_number;
+  const bool has_changed =
+      epoch.stored_configuration.revision.number != 0 &&
+      stored_revision.number > epoch.stored_configuration.revision.number;
+  return has_moved || is_later || has_changed;
 }
 
 }  // namespace
@@ -99,33 +101,33 @@
 }
 
 void ObserveEpoch(State& state, std::uint64_t number,
-                  const std::string& told_by) {
-  StoreEpoch& era = state.store.epoch;
-  if (number <= era.number) return;
-  if (!IsPlausibleEpoch(era.number, number)) {
+                  const std::string& source) {
+  StoreEpoch& epoch = state.store.epoch;
+  if (number <= epoch.number) return;
+  if (!IsPlausibleEpoch(epoch.number, number)) {
     Log(state, "era_refused",
         {{"era", std::to_string(number)},
-         {"known", std::to_string(era.number)},
-         {"told_by", told_by}},
+         {"known", std::to_string(epoch.number)},
+         {"told_by", source}},
         /*routine=*/true);
     return;
   }
-  const bool first = !std::exchange(era.known, true);
-  const std::uint64_t before = std::exchange(era.number, number);
-  era.recorded_reconciled = 0;
-  era.record_due = state.now + RandomDuration(state, kNoteWithin);
+  const bool first = !std::exchange(epoch.known, true);
+  const std::uint64_t previous = std::exchange(epoch.number, number);
+  epoch.recorded_reconciled = 0;
+  epoch.record_due = state.now + RandomDuration(state, kMaxRecordDelay);
   if (first) return;
-  era.restored_at = state.now;
-  era.first_revision_number = 0;
-  era.stored_configuration = {};
-  era.reconciled = false;
-  era.reconciled_at = state.now + kSettlesWithin;
+  epoch.restored_at = state.now;
+  epoch.first_revision_number = 0;
+  epoch.stored_configuration = {};
+  epoch.reconciled = false;
+  epoch.reconciled_at = state.now + kReconciliationTime;
   state.has_unpublished_changes = true;
   state.store.poll_due = state.now;
   Log(state, "store_restored",
       {{"era", std::to_string(number)},
-       {"era_before", std::to_string(before)},
-       {"told_by", told_by},
+       {"era_before", std::to_string(previous)},
+       {"told_by", source},
        {"version", std::to_string(StampOf(state).version)},
        {"backends", std::to_string(state.backends.size())},
        {"contents", std::to_string(state.quarantine.size())}});
@@ -134,126 +136,135 @@
   if (state.store.watching) state.effects.emplace_back(ListStore{});
 }
 
-void OnReconciledEpoch(State& state, std::uint64_t settled) {
-  StoreEpoch& era = state.store.epoch;
-  era.recorded_reconciled = settled;
-  const bool unnoticed = settled != 0 && settled < era.number;
-  if (!unnoticed || !IsStarting(state) || era.restored_at) return;
+void OnReconciledEpoch(State& state, std::uint64_t recorded) {
+  StoreEpoch& epoch = state.store.epoch;
+  epoch.recorded_reconciled = recorded;
+  const bool unnoticed = recorded != 0 && recorded < epoch.number;
+  if (!unnoticed || !IsStarting(state) || epoch.restored_at) return;
   Log(state, "store_restored",
-      {{"era", std::to_string(era.number)},
-       {"era_before", std::to_string(settled)},
+      {{"era", std::to_string(epoch.number)},
+       {"era_before", std::to_string(recorded)},
        {"told_by", "store"}});
-  JoinRestore(state, kSettlesWithin);
+  AdoptRestore(state, kReconciliationTime);
 }
 
 void WriteReconciledEpochIfDue(State& state) {
-  StoreEpoch& era = state.store.epoch;
-  const bool settled = era.reconciled && !IsStarting(state) &&
-                       !AwaitsConfigurationRewrite(state);
-  const bool lacks = settled && era.recorded_reconciled < era.number;
-  if (!lacks || !state.store.is_lead_poller || state.now < era.record_due)
+  StoreEpoch& epoch = state.store.epoch;
+  const bool is_reconciled = epoch.reconciled && !IsStarting(state) &&
+                             !AwaitsConfigurationRewrite(state);
+  const bool is_unrecorded =
+      is_reconciled && epoch.recorded_reconciled < epoch.number;
+  if (!is_unrecorded || !state.store.is_lead_poller ||
+      state.now < epoch.record_due)
     return;
-  era.record_due = state.now + kNoteAgain;
+  epoch.record_due = state.now + kRecordRetryInterval;
   Log(state, "notes_settled_era",
-      {{"era", std::to_string(era.number)},
-       {"noted", std::to_string(era.recorded_reconciled)}});
-  state.effects.emplace_back(WriteReconciledEpoch{.epoch = era.number});
+      {{"era", std::to_string(epoch.number)},
+       {"noted", std::to_string(epoch.recorded_reconciled)}});
+  state.effects.emplace_back(WriteReconciledEpoch{.epoch = epoch.number});
 }
 
 bool IsJustRestored(const State& state) {
   const auto& restored = state.store.epoch.restored_at;
-  return restored && state.now < *restored + kSettlesWithin;
+  return restored && state.now < *restored + kReconciliationTime;
 }
 
 Time RestoreEnd(const State& state) {
-  return state.store.epoch.restored_at.value_or(Time{}) + kSettlesWithin;
+  return state.store.epoch.restored_at.value_or(Time{}) + kReconciliationTime;
 }
 
-void RecordFirstRevisionNumber(State& state, const StoreRevision& at) {
-  StoreEpoch& era = state.store.epoch;
-  if (at.epoch != era.number || era.first_revision_number != 0) return;
-  era.first_revision_number = at.number;
+void RecordFirstRevisionNumber(State& state, const StoreRevision& revision) {
+  StoreEpoch& epoch = state.store.epoch;
+  if (revision.epoch != epoch.number || epoch.first_revision_number != 0)
+    return;
+  epoch.first_revision_number = revision.number;
 }
 
 void RecordStoredConfiguration(State& state, const ConfigurationStamp& stored) {
-  StoreEpoch& era = state.store.epoch;
-  if (stored.revision.epoch != era.number) return;
-  if (!era.reconciled && IsRewritten(state, stored)) Settle(state, "written");
-  if (stored.revision > era.stored_configuration.revision)
-    era.stored_configuration = stored;
+  StoreEpoch& epoch = state.store.epoch;
+  if (stored.revision.epoch != epoch.number) return;
+  if (!epoch.reconciled && IsRewritten(state, stored))
+    MarkReconciled(state, "written");
+  if (stored.revision > epoch.stored_configuration.revision)
+    epoch.stored_configuration = stored;
 }
 
-void ConfirmByStore(State& state, std::uint64_t number, Time asked) {
-  StoreEpoch& era = state.store.epoch;
-  if (number != era.number || asked == Time{}) return;
-  if (!era.reconciled && state.now >= era.reconciled_at) Settle(state, "time");
-  if (!era.reconciled || AwaitsConfigurationRewrite(state)) return;
-  if (!HasHeardOthers(state)) {
-    era.first_confirmation = asked;
+void ConfirmByStore(State& state, std::uint64_t epoch_number, Time queried_at) {
+  StoreEpoch& epoch = state.store.epoch;
+  if (epoch_number != epoch.number || queried_at == Time{}) return;
+  if (!epoch.reconciled && state.now >= epoch.reconciled_at)
+    MarkReconciled(state, "time");
+  if (!epoch.reconciled || AwaitsConfigurationRewrite(state)) return;
+  if (!HasHeardFromPeers(state)) {
+    epoch.first_confirmation = queried_at;
     return;
   }
-  ConfirmConfiguration(state, asked);
+  ConfirmConfiguration(state, queried_at);
 }
 
 void ApplyFirstConfirmation(State& state) {
-  StoreEpoch& era = state.store.epoch;
-  if (!era.first_confirmation || !HasHeardOthers(state)) return;
-  const Time asked = *std::exchange(era.first_confirmation, std::nullopt);
-  ConfirmByStore(state, era.number, asked);
+  StoreEpoch& epoch = state.store.epoch;
+  if (!epoch.first_confirmation || !HasHeardFromPeers(state)) return;
+  const Time queried_at =
+      *std::exchange(epoch.first_confirmation, std::nullopt);
+  ConfirmByStore(state, epoch.number, queried_at);
 }
 
-void ApplyPeerRestore(State& state, const LoadSnapshot& told) {
-  ObserveEpoch(state, told.epoch, told.peer_address);
-  StoreEpoch& era = state.store.epoch;
+void ApplyPeerRestore(State& state, const LoadSnapshot& snapshot) {
+  ObserveEpoch(state, snapshot.epoch, snapshot.peer_address);
+  StoreEpoch& epoch = state.store.epoch;
   // A daemon that starts can't know of it otherwise.
-  const bool starts = IsStarting(state) && told.epoch == era.number;
-  if (starts && told.reconciling_for > Duration::zero()) {
-    JoinRestore(state, told.reconciling_for);
+  const bool is_starting = IsStarting(state) && snapshot.epoch == epoch.number;
+  if (is_starting && snapshot.reconciling_for > Duration::zero()) {
+    AdoptRestore(state, snapshot.reconciling_for);
   }
   // It is known to daemons only: the store has lost it.
-  const bool lost = told.configuration.revision.epoch < era.number;
-  if (lost)
-    ScheduleConfigurationRead(state, told.configuration, told.peer_address);
+  const bool is_lost = snapshot.configuration.revision.epoch < epoch.number;
+  if (is_lost)
+    ScheduleConfigurationRead(state, snapshot.configuration,
+                              snapshot.peer_address);
 }
 
 void ApplyRelayedConfirmation(State& state, const StoreRelay& relay,
-                              Time sent) {
+                              Time sent_at) {
   if (!relay.configuration_age) return;
-  const Time asked = sent - *relay.configuration_age;
+  const Time queried_at = sent_at - *relay.configuration_age;
   if (IsNewer(relay.digest.configuration, StampOf(state))) {
-    AwaitConfiguration(state, relay.digest.configuration, asked);
+    AwaitConfiguration(state, relay.digest.configuration, queried_at);
     return;
   }
   // Whatever was the newest then, what is known here is at least as new.
-  Settle(state, "relay");
-  ConfirmConfiguration(state, asked);
+  MarkReconciled(state, "relay");
+  ConfirmConfiguration(state, queried_at);
 }
 
 Duration ReconcilingFor(const State& state) {
-  const StoreEpoch& era = state.store.epoch;
-  if (era.reconciled) return Duration::zero();
-  return std::max(era.reconciled_at - state.now, Duration::zero());
+  const StoreEpoch& epoch = state.store.epoch;
+  if (epoch.reconciled) return Duration::zero();
+  return std::max(epoch.reconciled_at - state.now, Duration::zero());
 }
 
 StoreRevision StoredRevision(const State& state) {
   const StoreRevision known = StampOf(state).revision;
-  const StoreEpoch& era = state.store.epoch;
-  return known.epoch == era.number ? known : era.stored_configuration.revision;
+  const StoreEpoch& epoch = state.store.epoch;
+  return known.epoch == epoch.number ? known
+                                     : epoch.stored_configuration.revision;
 }
 
 bool IsRestoredTombstone(const State& state, const BackendServer& server) {
-  const StoreEpoch& era = state.store.epoch;
-  const auto gone = state.store.tombstones.find(server.id);
-  return gone != state.store.tombstones.end() && era.restored_at &&
-         gone->second.revision.epoch < server.revision.epoch &&
-         server.start_unix_ms <= gone->second.start_unix_ms &&
-         (era.first_revision_number == 0 ||
-          server.revision.number <= era.first_revision_number) &&
-         state.now < *era.restored_at + kCopyLapses;
+  const StoreEpoch& epoch = state.store.epoch;
+  const auto tombstone = state.store.tombstones.find(server.id);
+  return tombstone != state.store.tombstones.end() && epoch.restored_at &&
+         tombstone->second.revision.epoch < server.revision.epoch &&
+         server.start_unix_ms <= tombstone->second.start_unix_ms &&
+         (epoch.first_revision_number == 0 ||
+          server.revision.number <= epoch.first_revision_number) &&
+         state.now < *epoch.restored_at + kRestoredTombstoneTime;
 }
 
 Time RestoredTombstoneEnd(const State& state) {
-  return state.store.epoch.restored_at.value_or(Time{}) + kCopyLapses;
+  return state.store.epoch.restored_at.value_or(Time{}) +
+         kRestoredTombstoneTime;
 }
 
 }  // namespace internal
--- a/serving/test/proofs_test.cc
+++ b/serving/test/proofs_test.cc
@@ -13,17 +13,17 @@
 using test::MakeConfiguration;
 
 // Of both, in the harness.
-constexpr Duration kNewsWithin = seconds(2);
+constexpr Duration kPropagationLimit = seconds(2);
 
 // A daemon without others, whose questions to the store are not answered while
 // a watch brings it one configuration after another.
-class Lagging {
+class LaggingDaemon {
  public:
-  Lagging() { Prove(); }
+  LaggingDaemon() { ConfirmStoreState(); }
 
   Daemon& daemon() { return daemon_; }
   // All that it knows is the newest.
-  void Prove() {
+  void ConfirmStoreState() {
     daemon_.Feed(ConfigurationConfirmed{.revision = {.number = revision_},
                                         .queried_at = daemon_.now()});
     daemon_.Feed(BackendsConfirmed{.queried_at = daemon_.now()});
@@ -47,9 +47,9 @@
 // (the whole story stands in store_trouble_test.cc). The age of what a daemon
 // knew of backend servers was looked at by nobody.
 TEST_CASE("A daemon that lags behind the store sends nothing") {
-  Lagging lagging;
+  LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
-  lagging.Lag(kNewsWithin);
+  lagging.Lag(kPropagationLimit);
   daemon.SendRequest("safe");
   CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   const auto* refused = daemon.FirstEffect<Refuse>();
@@ -57,43 +57,43 @@
   CHECK(refused->status == 503);
   CHECK(refused->retry_after > Duration::zero());
   CHECK_FALSE(IsServing(daemon.state()));
-  lagging.Prove();
+  lagging.ConfirmStoreState();
   CHECK(IsServing(daemon.state()));
   daemon.SendRequest("safe");
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
 TEST_CASE("A request that waits to be sent again waits for a proof too") {
-  Lagging lagging;
+  LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
   daemon.SendRequest("safe");
   const auto* sent = daemon.FirstEffect<StartAttempt>();
   REQUIRE(sent != nullptr);
   const AttemptId attempt = sent->attempt;
-  lagging.Lag(kNewsWithin);
+  lagging.Lag(kPropagationLimit);
   daemon.Feed(
       AttemptFailed{.attempt = attempt, .error = AttemptError::kNotSent});
   CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   lagging.Lag(milliseconds(100));
   CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
-  lagging.Prove();
+  lagging.ConfirmStoreState();
   daemon.AdvanceTime(milliseconds(100));
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
 TEST_CASE("A prompt whose memory comes too late for the proof isn't begun") {
-  Lagging lagging;
+  LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
   lagging.Lag(milliseconds(1800));
   daemon.SendRequest("stream", /*prompt=*/900'000);
-  std::vector<ReserveMemory> orders;
+  std::vector<ReserveMemory> reservations;
   for (const Effect& it : daemon.effects()) {
-    const auto* order = std::get_if<ReserveMemory>(&it);
-    if (order != nullptr) orders.push_back(*order);
+    const auto* reservation = std::get_if<ReserveMemory>(&it);
+    if (reservation != nullptr) reservations.push_back(*reservation);
   }
-  REQUIRE_FALSE(orders.empty());
+  REQUIRE_FALSE(reservations.empty());
   lagging.Lag(milliseconds(200));
-  for (const ReserveMemory& it : orders) {
+  for (const ReserveMemory& it : reservations) {
     daemon.Feed(MemoryReservationAnswered{.attempt = it.attempt,
                                           .helper_index = it.helper_index,
                                           .granted = true});
@@ -102,7 +102,7 @@
 }
 
 TEST_CASE("While the store says nothing at all, work goes on") {
-  Lagging lagging;
+  LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
   for (int i = 0; i < 40; ++i) {
     daemon.AdvanceTime(milliseconds(100));
@@ -116,14 +116,14 @@
 // and is waited for. That it could have left ever since it was last known to
 // be there was not counted.
 TEST_CASE("An entry that is gone is used no longer than news may take") {
-  Lagging lagging;
+  LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
   daemon.Feed(BackendsConfirmed{.queried_at = daemon.now()});
-  const Time proved = daemon.now();
+  const Time confirmed_at = daemon.now();
   daemon.AdvanceTime(milliseconds(1400));
   daemon.Feed(BackendUnlisted{.id = "app0", .certain = false});
   CHECK(daemon.state().backends.contains("app0"));
-  daemon.AdvanceTime(proved + kNewsWithin - daemon.now());
+  daemon.AdvanceTime(confirmed_at + kPropagationLimit - daemon.now());
   CHECK_FALSE(daemon.state().backends.contains("app0"));
 }
 
--- a/serving/test/store_eras_test.cc
+++ b/serving/test/store_eras_test.cc
@@ -10,32 +10,33 @@
 using test::kStart;
 using test::MakeConfiguration;
 
-constexpr std::uint64_t kEra = 2;
+constexpr std::uint64_t kEpoch = 2;
 
-Configuration Stored(std::int64_t version, std::uint64_t number) {
+Configuration StoredConfiguration(std::int64_t version, std::uint64_t number) {
   Configuration configuration = MakeConfiguration(0);
   configuration.version = version;
-  configuration.revision = {.epoch = kEra, .number = number};
+  configuration.revision = {.epoch = kEpoch, .number = number};
   return configuration;
 }
 
 // A daemon that has just started and hears nobody.
-class Starter {
+class StartingDaemon {
  public:
-  Starter() {
-    Feed(StoreEpochObserved{.epoch = kEra});
-    Read(Stored(3, 7));
+  StartingDaemon() {
+    Feed(StoreEpochObserved{.epoch = kEpoch});
+    Read(StoredConfiguration(3, 7));
   }
   // What the store's first list tells.
-  void List(std::uint64_t settled_era) {
-    if (settled_era != 0) Feed(ReconciledEpochObserved{.epoch = settled_era});
+  void List(std::uint64_t reconciled_epoch) {
+    if (reconciled_epoch != 0)
+      Feed(ReconciledEpochObserved{.epoch = reconciled_epoch});
     Feed(PeersListed{});
   }
   void Read(const Configuration& stored) {
     Feed(ConfigurationReceived{.configuration = stored, .queried_at = now_});
   }
   // The store is asked each 100 ms.
-  void Pass(Duration time) {
+  void AdvanceTime(Duration time) {
     for (const Time until = now_ + time; now_ < until;) {
       now_ += milliseconds(100);
       Feed(ConfigurationConfirmed{.revision = StampOf().revision,
@@ -43,15 +44,15 @@
       Feed(Tick{});
     }
   }
-  bool is_proved() const { return state_.confirmed_at != Time{}; }
-  std::uint64_t era() const { return state_.store.epoch.number; }
-  int notes() const { return notes_; }
+  bool is_confirmed() const { return state_.confirmed_at != Time{}; }
+  std::uint64_t epoch() const { return state_.store.epoch.number; }
+  int record_writes() const { return record_writes_; }
   void Feed(EventBody body) {
     const Effects effects =
         Reduce(state_, {.now = now_, .body = std::move(body)});
     for (const Effect& it : effects) {
-      const auto* note = std::get_if<WriteReconciledEpoch>(&it);
-      if (note != nullptr && note->epoch == kEra) ++notes_;
+      const auto* write = std::get_if<WriteReconciledEpoch>(&it);
+      if (write != nullptr && write->epoch == kEpoch) ++record_writes_;
     }
   }
 
@@ -62,72 +63,74 @@
 
   State state_{{.instance = "1.1.1.1:1", .peer_address = "1.1.1.1:2"}};
   Time now_ = kStart;
-  int notes_ = 0;
+  int record_writes_ = 0;
 };
 
 // A daemon that heard nobody took an older copy for proof.
 TEST_CASE("A restore that no daemon got over is known from the store's note") {
-  Starter starter;
-  starter.List(kEra - 1);
-  starter.Pass(milliseconds(2400));
-  CHECK_FALSE(starter.is_proved());
-  starter.Pass(milliseconds(300));
-  CHECK(starter.is_proved());
+  StartingDaemon daemon;
+  daemon.List(kEpoch - 1);
+  daemon.AdvanceTime(milliseconds(2400));
+  CHECK_FALSE(daemon.is_confirmed());
+  daemon.AdvanceTime(milliseconds(300));
+  CHECK(daemon.is_confirmed());
 }
 
 TEST_CASE("What the operators write after such a restore is proved at once") {
-  Starter starter;
-  starter.List(kEra - 1);
-  starter.Pass(milliseconds(1100));
-  CHECK_FALSE(starter.is_proved());
-  starter.Read(Stored(4, 9));
-  CHECK(starter.is_proved());
+  StartingDaemon daemon;
+  daemon.List(kEpoch - 1);
+  daemon.AdvanceTime(milliseconds(1100));
+  CHECK_FALSE(daemon.is_confirmed());
+  daemon.Read(StoredConfiguration(4, 9));
+  CHECK(daemon.is_confirmed());
 }
 
 TEST_CASE("A daemon's word of an era far above the store's is not believed") {
-  Starter starter;
-  starter.List(kEra);
-  starter.Pass(milliseconds(1100));
-  const std::uint64_t told = kEra + kMaxEpochAdvance + 1;
-  starter.Feed(StoreRelayReceived{{.peer_address = "a:1", .epoch = told}});
-  CHECK(starter.era() == kEra);
-  starter.Feed(StoreRelayReceived{{.peer_address = "a:1", .epoch = told - 1}});
-  CHECK(starter.era() == told - 1);
+  StartingDaemon daemon;
+  daemon.List(kEpoch);
+  daemon.AdvanceTime(milliseconds(1100));
+  const std::uint64_t relayed_epoch = kEpoch + kMaxEpochAdvance + 1;
+  daemon.Feed(
+      StoreRelayReceived{{.peer_address = "a:1", .epoch = relayed_epoch}});
+  CHECK(daemon.epoch() == kEpoch);
+  daemon.Feed(
+      StoreRelayReceived{{.peer_address = "a:1", .epoch = relayed_epoch - 1}});
+  CHECK(daemon.epoch() == relayed_epoch - 1);
 }
 
 TEST_CASE("A store whose era is settled, or that has no note, is believed") {
-  for (const std::uint64_t settled : {kEra, std::uint64_t{0}}) {
-    Starter starter;
-    starter.List(settled);
-    starter.Pass(milliseconds(1100));
-    CHECK(starter.is_proved());
+  for (const std::uint64_t reconciled : {kEpoch, std::uint64_t{0}}) {
+    StartingDaemon daemon;
+    daemon.List(reconciled);
+    daemon.AdvanceTime(milliseconds(1100));
+    CHECK(daemon.is_confirmed());
   }
 }
 
 TEST_CASE("Nothing is proved before the store's first list") {
-  Starter starter;
-  starter.Pass(seconds(2));
-  CHECK_FALSE(starter.is_proved());
-  starter.List(kEra);
-  starter.Pass(milliseconds(100));
-  CHECK(starter.is_proved());
+  StartingDaemon daemon;
+  daemon.AdvanceTime(seconds(2));
+  CHECK_FALSE(daemon.is_confirmed());
+  daemon.List(kEpoch);
+  daemon.AdvanceTime(milliseconds(100));
+  CHECK(daemon.is_confirmed());
 }
 
 TEST_CASE("An era that is settled is noted until the note is seen") {
-  Starter starter;
-  starter.List(0);
-  starter.Pass(seconds(4));
-  CHECK(starter.notes() == 1);
-  starter.Pass(seconds(5));
-  CHECK(starter.notes() > 1);
-  starter.Feed(ReconciledEpochObserved{.epoch = kEra});
-  const int before = starter.notes();
-  starter.Pass(seconds(10));
-  CHECK(starter.notes() == before);
+  StartingDaemon daemon;
+  daemon.List(0);
+  daemon.AdvanceTime(seconds(4));
+  CHECK(daemon.record_writes() == 1);
+  daemon.AdvanceTime(seconds(5));
+  CHECK(daemon.record_writes() > 1);
+  daemon.Feed(ReconciledEpochObserved{.epoch = kEpoch});
+  const int before = daemon.record_writes();
+  daemon.AdvanceTime(seconds(10));
+  CHECK(daemon.record_writes() == before);
   // Another call that was late took it back.
-  starter.Feed(ReconciledEpochObserved{.epoch = kEra - 1});
-  starter.Pass(seconds(1));
-  CHECK(starter.notes() == before + 1);
+  daemon.Feed(ReconciledEpochObserved{.epoch = kEpoch - 1});
+  daemon.AdvanceTime(seconds(1));
+  CHECK(daemon.record_writes() == before + 1);
 }
 
 }  // namespace
--- a/serving/test/store_following_test.cc
+++ b/serving/test/store_following_test.cc
@@ -11,7 +11,7 @@
 
 using test::Daemon;
 
-constexpr Duration kNewsWithin = seconds(2);
+constexpr Duration kPropagationLimit = seconds(2);
 
 LoadSnapshot PeerSnapshot(const std::string& address, std::uint64_t sequence) {
   return {.instance = address,
@@ -23,7 +23,7 @@
 }
 
 // Two addresses that rank before `own` where askers are chosen.
-std::vector<std::string> AskersBefore(const std::string& own) {
+std::vector<std::string> PollersBefore(const std::string& own) {
   const std::uint64_t salt = HashBytes("");
   std::vector<std::string> found;
   for (int i = 0; found.size() < 2; ++i) {
@@ -37,16 +37,16 @@
 
 // A daemon beside two others of its data centre that it hears, and that ask
 // the store for it.
-class Listener {
+class NonPoller {
  public:
-  Listener() : peers_(AskersBefore(daemon_.state().options.peer_address)) {
-    Hear();
+  NonPoller() : peers_(PollersBefore(daemon_.state().options.peer_address)) {
+    ReceiveSnapshots();
     daemon_.AdvanceTime(milliseconds(1000));
-    Hear();
+    ReceiveSnapshots();
   }
 
   Daemon& daemon() { return daemon_; }
-  void Hear() {
+  void ReceiveSnapshots() {
     ++sequence_;
     for (const std::string& it : peers_) {
       daemon_.Feed(SnapshotReceived{PeerSnapshot(it, sequence_)});
@@ -54,7 +54,7 @@
   }
   // What an asker with the same knowledge would tell, having heard all that
   // this daemon said until now.
-  StoreRelay Proof(Duration age = milliseconds(5)) {
+  StoreRelay Confirmation(Duration age = milliseconds(5)) {
     return {.peer_address = peers_.front(),
             .digest = Digest(),
             .changes = {},
@@ -77,15 +77,15 @@
   }
   // Whether it asks the store itself while `time` passes and it hears what its
   // peers say.
-  bool AsksWithin(Duration time, bool proofs) {
-    bool asked = false;
+  bool QueriesWithin(Duration time, bool confirmations) {
+    bool queried = false;
     for (Duration passed{}; passed < time; passed += milliseconds(100)) {
-      Hear();
-      if (proofs) Relay(Proof());
+      ReceiveSnapshots();
+      if (confirmations) Relay(Confirmation());
       daemon_.AdvanceTime(milliseconds(100));
-      asked = asked || daemon_.FirstEffect<PollStore>() != nullptr;
+      queried = queried || daemon_.FirstEffect<PollStore>() != nullptr;
     }
-    return asked;
+    return queried;
   }
 
  private:
@@ -100,15 +100,15 @@
   const auto* watch = daemon.FirstEffect<WatchStore>();
   REQUIRE(watch != nullptr);
   CHECK(watch->enabled);
-  const auto* question = daemon.FirstEffect<PollStore>();
-  REQUIRE(question != nullptr);
-  CHECK(question->configuration.number == 1);
-  CHECK(question->backends.size() == 9);
+  const auto* query = daemon.FirstEffect<PollStore>();
+  REQUIRE(query != nullptr);
+  CHECK(query->configuration.number == 1);
+  CHECK(query->backends.size() == 9);
 }
 
 TEST_CASE("Of many daemons in a data centre two ask") {
   const std::vector<std::string> all{"a:1", "b:1", "c:1", "d:1", "e:1", "f:1"};
-  int askers = 0;
+  int pollers = 0;
   for (const std::string& own : all) {
     Daemon daemon;
     daemon.state().options.peer_address = own;
@@ -116,15 +116,15 @@
       daemon.Feed(SnapshotReceived{PeerSnapshot(it, 1)});
     }
     daemon.AdvanceTime(milliseconds(1000));
-    if (daemon.FirstEffect<WatchStore>() != nullptr) ++askers;
+    if (daemon.FirstEffect<WatchStore>() != nullptr) ++pollers;
   }
-  CHECK(askers == 2);
+  CHECK(pollers == 2);
 }
 
 TEST_CASE("A daemon that hears proofs does not ask, one that hears none does") {
-  Listener listener;
-  CHECK_FALSE(listener.AsksWithin(seconds(10), /*proofs=*/true));
-  CHECK(listener.AsksWithin(kNewsWithin, /*proofs=*/false));
+  NonPoller non_poller;
+  CHECK_FALSE(non_poller.QueriesWithin(seconds(10), /*confirmations=*/true));
+  CHECK(non_poller.QueriesWithin(kPropagationLimit, /*confirmations=*/false));
 }
 
 TEST_CASE(
@@ -137,11 +137,11 @@
   feed(Tick{});
   feed(BackendsListed{.revision = {.number = 5}, .queried_at = now});
   std::uint64_t sequence = 0;
-  int questions = 0;
+  int queries = 0;
   for (int i = 0; i < 25; ++i) {
     now += milliseconds(100);
     ++sequence;
-    for (const std::string& it : AskersBefore("1.1.1.1:2")) {
+    for (const std::string& it : PollersBefore("1.1.1.1:2")) {
       feed(SnapshotReceived{PeerSnapshot(it, sequence)});
     }
     // That there is no configuration is proved too.
@@ -151,10 +151,10 @@
                              .heard_incarnation = state.options.incarnation,
                              .heard_sequence = state.snapshot_sequence}});
     for (const Effect& it : feed(Tick{})) {
-      if (std::holds_alternative<PollStore>(it)) ++questions;
+      if (std::holds_alternative<PollStore>(it)) ++queries;
     }
   }
-  CHECK(questions == 0);
+  CHECK(queries == 0);
   CHECK_FALSE(IsServing(state));
 }
 
@@ -169,63 +169,63 @@
   const auto* watch = daemon.FirstEffect<WatchStore>();
   REQUIRE(watch != nullptr);
   CHECK_FALSE(watch->enabled);
-  const auto* told = daemon.FirstEffect<PublishSnapshot>();
-  REQUIRE(told != nullptr);
-  CHECK_FALSE(told->snapshot.polls_store);
+  const auto* published = daemon.FirstEffect<PublishSnapshot>();
+  REQUIRE(published != nullptr);
+  CHECK_FALSE(published->snapshot.polls_store);
 }
 
 TEST_CASE("A relay is never taken for younger than it is") {
-  Listener listener;
-  Daemon& daemon = listener.daemon();
-  const StoreRelay relay = listener.Proof();
+  NonPoller non_poller;
+  Daemon& daemon = non_poller.daemon();
+  const StoreRelay relay = non_poller.Confirmation();
   // It lies in the socket's buffer while the daemon is frozen.
   const Time sent = daemon.now();
   daemon.SetNow(daemon.now() + seconds(4));
-  listener.Relay(relay);
+  non_poller.Relay(relay);
   CHECK(daemon.state().confirmed_at <= sent);
   CHECK(daemon.state().store.backends_confirmed_at <= sent);
   // One that answers to nothing of this life proves nothing.
-  StoreRelay foreign = listener.Proof();
+  StoreRelay foreign = non_poller.Confirmation();
   foreign.heard_incarnation = daemon.state().options.incarnation + 1;
   const Time before = daemon.state().confirmed_at;
-  listener.Relay(foreign);
+  non_poller.Relay(foreign);
   CHECK(daemon.state().confirmed_at == before);
 }
 
 TEST_CASE("Older news never revert newer ones") {
-  Listener listener;
-  Daemon& daemon = listener.daemon();
+  NonPoller non_poller;
+  Daemon& daemon = non_poller.daemon();
   const BackendServer server = daemon.state().backends.at("app0").server;
-  StoreRelay relay = listener.Proof();
+  StoreRelay relay = non_poller.Confirmation();
   relay.backends_age.reset();
   relay.changes = {
       {.id = "app0", .revision = {.number = server.revision.number + 5}}};
-  listener.Relay(relay);
+  non_poller.Relay(relay);
   CHECK_FALSE(daemon.state().backends.contains("app0"));
   relay.changes = {
       {.id = "app0", .revision = server.revision, .server = server}};
-  listener.Relay(relay);
+  non_poller.Relay(relay);
   CHECK_FALSE(daemon.state().backends.contains("app0"));
   // And the other way round: gone before it came back.
   BackendServer back = server;
   back.revision.number = server.revision.number + 9;
   relay.changes = {{.id = "app0", .revision = back.revision, .server = back}};
-  listener.Relay(relay);
+  non_poller.Relay(relay);
   REQUIRE(daemon.state().backends.contains("app0"));
   relay.changes = {
       {.id = "app0", .revision = {.number = server.revision.number + 5}}};
-  listener.Relay(relay);
+  non_poller.Relay(relay);
   CHECK(daemon.state().backends.contains("app0"));
 }
 
 TEST_CASE("A newer configuration is read by each, once for many changes") {
-  Listener listener;
-  Daemon& daemon = listener.daemon();
-  StoreRelay relay = listener.Proof();
+  NonPoller non_poller;
+  Daemon& daemon = non_poller.daemon();
+  StoreRelay relay = non_poller.Confirmation();
   int reads = 0;
   for (int i = 0; i < 20; ++i) {
     ++relay.digest.configuration.revision.number;
-    listener.Relay(relay);
+    non_poller.Relay(relay);
     daemon.AdvanceTime(milliseconds(50));
     if (daemon.FirstEffect<ReadConfiguration>() != nullptr) ++reads;
   }
@@ -233,15 +233,15 @@
   CHECK(reads <= 3);
   // A proof of a configuration that this daemon lacks says nothing of its own.
   const Time before = daemon.state().confirmed_at;
-  listener.Relay(relay);
+  non_poller.Relay(relay);
   CHECK(daemon.state().confirmed_at == before);
   // Once it knows that one it is proved, for when the asker asked.
-  listener.Hear();
+  non_poller.ReceiveSnapshots();
   daemon.AdvanceTime(milliseconds(100));
-  StoreRelay proof = listener.Proof();
-  proof.digest.configuration = relay.digest.configuration;
+  StoreRelay confirmation = non_poller.Confirmation();
+  confirmation.digest.configuration = relay.digest.configuration;
   const Time sent = daemon.now();
-  listener.Relay(proof);
+  non_poller.Relay(confirmation);
   daemon.AdvanceTime(milliseconds(300));
   daemon.Feed(
       ConfigurationReceived{.configuration = test::MakeConfiguration(
@@ -252,13 +252,13 @@
 }
 
 TEST_CASE("A proof of an older configuration proves a newer one") {
-  Listener listener;
-  Daemon& daemon = listener.daemon();
-  const StoreRelay proof = listener.Proof();
+  NonPoller non_poller;
+  Daemon& daemon = non_poller.daemon();
+  const StoreRelay confirmation = non_poller.Confirmation();
   const Time before = daemon.state().confirmed_at;
   daemon.Feed(ConfigurationReceived{.configuration = test::MakeConfiguration(7),
                                     .queried_at = Time{}});
-  listener.Relay(proof);
+  non_poller.Relay(confirmation);
   CHECK(daemon.state().confirmed_at > before);
 }
 
@@ -267,23 +267,23 @@
 TEST_CASE("The second asker asks when it misses the word of the first") {
   Daemon daemon;
   const std::string first =
-      AskersBefore(daemon.state().options.peer_address).front();
+      PollersBefore(daemon.state().options.peer_address).front();
   std::uint64_t sequence = 0;
-  const auto hear = [&] {
+  const auto receive_snapshot = [&] {
     daemon.Feed(SnapshotReceived{PeerSnapshot(first, ++sequence)});
   };
-  hear();
+  receive_snapshot();
   daemon.AdvanceTime(milliseconds(1000));
-  hear();
+  receive_snapshot();
   daemon.AdvanceTime(milliseconds(100));
   REQUIRE(daemon.state().store.watching);
   CHECK_FALSE(daemon.state().store.is_lead_poller);
   daemon.ConfirmStore();
-  const auto asks = [&](bool told) {
+  const auto count_queries = [&](bool confirmed) {
     int n = 0;
     for (int i = 0; i < 60; ++i) {
-      hear();
-      if (told) daemon.ConfirmStore();
+      receive_snapshot();
+      if (confirmed) daemon.ConfirmStore();
       daemon.AdvanceTime(milliseconds(100));
       if (daemon.FirstEffect<PollStore>() != nullptr) {
         ++n;
@@ -292,37 +292,37 @@
     }
     return n;
   };
-  CHECK(asks(true) == 0);
-  CHECK(asks(false) >= 4);
+  CHECK(count_queries(true) == 0);
+  CHECK(count_queries(false) >= 4);
 }
 
 // In an outage of 6 s 295 daemons put 3,800 calls to a store that refused them.
 TEST_CASE("Of many that lost the store each asks more rarely") {
-  const auto pause_beside = [](int others) {
+  const auto poll_delay_with_peers = [](int peers) {
     Daemon daemon;
-    for (int i = 0; i < others; ++i) {
+    for (int i = 0; i < peers; ++i) {
       daemon.Feed(
           SnapshotReceived{PeerSnapshot("3.3.3.3:" + std::to_string(i), 1)});
     }
     for (int i = 0; i < 6; ++i) daemon.Feed(StoreUnreachable{});
     return daemon.state().store.poll_due - daemon.now();
   };
-  CHECK(pause_beside(2) <= milliseconds(1600));
-  CHECK(pause_beside(58) >= seconds(2));
-  CHECK(pause_beside(58) <= seconds(4));
+  CHECK(poll_delay_with_peers(2) <= milliseconds(1600));
+  CHECK(poll_delay_with_peers(58) >= seconds(2));
+  CHECK(poll_delay_with_peers(58) <= seconds(4));
 }
 
 TEST_CASE("A daemon that alone does not reach the store goes on") {
-  Listener listener;
-  Daemon& daemon = listener.daemon();
-  StoreRelay relay = listener.Proof();
-  listener.Relay(relay);
+  NonPoller non_poller;
+  Daemon& daemon = non_poller.daemon();
+  StoreRelay relay = non_poller.Confirmation();
+  non_poller.Relay(relay);
   ++relay.digest.configuration.revision.number;
   // The others know a newer configuration, which it can't read.
   for (int i = 0; i < 35; ++i) {
-    listener.Hear();
+    non_poller.ReceiveSnapshots();
     relay.heard_sequence = daemon.state().snapshot_sequence;
-    listener.Relay(relay);
+    non_poller.Relay(relay);
     daemon.AdvanceTime(milliseconds(100));
     // Nor does any of the others tell it.
     if (daemon.FirstEffect<ReadConfiguration>() != nullptr) {
@@ -338,14 +338,14 @@
 }
 
 TEST_CASE("Entries that stay different are listed") {
-  Listener listener;
-  Daemon& daemon = listener.daemon();
+  NonPoller non_poller;
+  Daemon& daemon = non_poller.daemon();
   bool listed = false;
   for (int i = 0; i < 12; ++i) {
-    StoreRelay relay = listener.Proof();
+    StoreRelay relay = non_poller.Confirmation();
     relay.digest.backends ^= 1;
-    listener.Relay(relay);
-    listener.Hear();
+    non_poller.Relay(relay);
+    non_poller.ReceiveSnapshots();
     daemon.AdvanceTime(milliseconds(100));
     listed = listed || daemon.FirstEffect<ListStore>() != nullptr;
   }
@@ -381,31 +381,32 @@
 
 // Its number of the era before was kept, and the lower one dropped as old.
 TEST_CASE("A server that a copy lacks is known by what it writes again") {
-  Listener listener;
-  Daemon& daemon = listener.daemon();
+  NonPoller non_poller;
+  Daemon& daemon = non_poller.daemon();
   daemon.Feed(StoreEpochObserved{.epoch = 1});
   const BackendServer server = daemon.state().backends.at("app0").server;
-  StoreRelay relay = listener.Proof();
+  StoreRelay relay = non_poller.Confirmation();
   relay.epoch = 2;
   relay.changes = {
       {.id = "app0", .revision = {.epoch = 2, .number = 3}, .certain = false}};
-  listener.Relay(relay);
+  non_poller.Relay(relay);
   REQUIRE(daemon.state().backends.at("app0").gone_at.has_value());
   // The others are proved to be as they were.
-  listener.Hear();
+  non_poller.ReceiveSnapshots();
   daemon.AdvanceTime(milliseconds(100));
-  StoreRelay proof = listener.Proof();
-  proof.epoch = 2;
-  proof.digest.backends ^= daemon.state().backends.at("app0").entry_hash;
-  listener.Relay(proof);
+  StoreRelay confirmation = non_poller.Confirmation();
+  confirmation.epoch = 2;
+  confirmation.digest.backends ^= daemon.state().backends.at("app0").entry_hash;
+  non_poller.Relay(confirmation);
   CHECK(daemon.state().backends.at("app1").server.revision.epoch == 2);
-  BackendServer again = server;
-  again.revision = {.epoch = 2, .number = 4};
-  REQUIRE(again.revision.number < server.revision.number);
-  relay.changes = {{.id = "app0", .revision = again.revision, .server = again}};
-  listener.Relay(relay);
+  BackendServer rewritten = server;
+  rewritten.revision = {.epoch = 2, .number = 4};
+  REQUIRE(rewritten.revision.number < server.revision.number);
+  relay.changes = {
+      {.id = "app0", .revision = rewritten.revision, .server = rewritten}};
+  non_poller.Relay(relay);
   const Backend& known = daemon.state().backends.at("app0");
-  CHECK(known.server.revision == again.revision);
+  CHECK(known.server.revision == rewritten.revision);
   CHECK_FALSE(known.gone_at.has_value());
 }
 
--- a/serving/test/store_restores_drawn_test.cc
+++ b/serving/test/store_restores_drawn_test.cc
@@ -26,16 +26,16 @@
 // The daemons that started took the copy for proof.
 TEST_CASE("A restore that no daemon lived through is known all the same") {
   constexpr int kConfigures = 0;
-  constexpr int kPasses = 12;
+  constexpr int kAdvancesTime = 12;
   RelayFleet fleet;
   for (const DrawnStep& it : std::vector<DrawnStep>{
            {.kind = RelayFleet::kCopies},
            {.kind = kConfigures},
-           {.kind = kPasses, .second = 900},
+           {.kind = kAdvancesTime, .second = 900},
            {.kind = RelayFleet::kRestores, .first = 100, .second = 900},
            {.kind = RelayFleet::kKillsAll},
-           {.kind = kPasses, .second = 900},
-           {.kind = kPasses, .second = 900}}) {
+           {.kind = kAdvancesTime, .second = 900},
+           {.kind = kAdvancesTime, .second = 900}}) {
     fleet.ApplyStep(it);
   }
   fleet.CheckRecovery();
