--- a/serving/src/proofs.cc
+++ b/serving/src/proofs.cc
@@ -4,41 +4,49 @@
 #include "internal/steps.h"
 #include "scaleshed/serving/reducer.h"
 
-// A daemon goes by what it knows of the store only while that was the newest so
-// short a time ago that what it lacks is not yet due in force. That covers
-// whatever makes it lag: its own load, a link that is full of large answers, a
-// watch that says nothing. The store's silence is another matter: where nobody
-// can know anything newer, work goes on by what is known.
+// Decides whether the store state that a daemon knows is fresh enough to serve
+// by. The state is usable only while it was confirmed as the newest so recently
+// that a later change isn't due to be in force yet. This covers every cause of
+// lag: the daemon's own load, a link that is full of large responses, a watch
+// that reports nothing. An unresponsive store is treated differently: no daemon
+// can know anything newer then, so that daemons go on with what they know.
 namespace scaleshed::serving::internal {
 namespace {
 
-// Of the time within which news have to be in force: what is known is used for
-// so long after it was the newest. The rest, 120 ms of 2 s, is for a send to
-// arrive: some ms in calm networks.
+// The share of the propagation limit for which known state is used after it was
+// last confirmed as the newest. The remainder, 120 ms of 2 s, is left for a
+// send to arrive, which takes some milliseconds in an unloaded network.
 constexpr double kUsableShare = 0.94;
-// A call that brought no byte for so long says that the store is silent: it
-// answers within some 10 ms. Early enough that those who ask at the last moment
-// (0.84 of the time) know it before what they know is too old.
+// The share of the propagation limit after which a store query without any
+// response byte counts as unanswered; the store usually responds within about
+// 10 ms. The share is small enough that daemons that query as late as possible
+// (at 0.84 of the limit) notice it before their state is too old to use.
 constexpr double kUnansweredShare = 0.1;
-// And nobody is known to have heard of it for so long: more than a round of the
-// askers, whose relays tell of it too. Where others hear it and this daemon has
-// not for so long, it is cut off or turned away, and can't know better either.
+// The share of the propagation limit for which no daemon must be known to have
+// had a response before an unanswered query means that the store is
+// unresponsive. It exceeds the poll interval, as the pollers' relays report
+// responses too. A daemon whose own query is unanswered for this long while
+// others get responses is cut off or refused, and can't learn anything newer
+// either.
 constexpr double kNoResponseShare = 0.5;
-// When the store speaks again, work goes on until the first question after
-// that is answered, at most for so long: two failed ones apart.
+// The share of the propagation limit for which a daemon goes on serving after
+// the store responds again, until its first query from then on is answered.
+// Two failed queries fit into it.
 constexpr double kRecoveryShare = 0.4;
-// Entries that lapse while the store is away come back with the next heartbeat
-// of their backend server, at most 1.2 s later; a leaving one must be dropped 2
-// s after the store took its word.
+// How long a backend server is kept whose entry may only have expired.
+// Entries that expire while the store is unavailable come back with the next
+// heartbeat of their server, at most 1.2 s later; a server that is leaving must
+// be dropped 2 s after the store accepted its change.
 constexpr Duration kExpiredEntryWait = milliseconds(1600);
-// Proofs of configurations that are underway; each asker tells two a second.
+// Limits the confirmations that are kept of configurations not received yet;
+// each poller relays two a second.
 constexpr std::size_t kMaxAwaitedConfigurations = 32;
 
 Duration PropagationShare(const State& state, double share) {
   return FractionOf(state.options.propagation_limit, share);
 }
 
-// `proved` is one of the state's times.
+// `confirmed_at` is a member of `state` or of its parts.
 void RaiseConfirmedAt(State& state, Time& confirmed_at, Time queried_at) {
   const bool was_serving = IsServing(state);
   confirmed_at = std::max(confirmed_at, queried_at);
@@ -49,7 +57,7 @@
   return state.now < confirmed_at + PropagationShare(state, kUsableShare);
 }
 
-// Whether what was the newest at `proved` may be gone by.
+// Returns whether state that was last confirmed at `confirmed_at` may be used.
 bool IsUsable(const State& state, Time confirmed_at) {
   return IsRecentlyConfirmed(state, confirmed_at) ||
          IsStoreUnresponsive(state) || IsJustRestored(state) ||
@@ -60,7 +68,7 @@
 }  // namespace
 
 Time StoreConfirmedAt(const State& state) {
-  // No question can prove the configuration then.
+  // No store query can confirm the configuration before its rewrite.
   if (AwaitsConfigurationRewrite(state))
     return state.store.backends_confirmed_at;
   return std::min(state.confirmed_at, state.store.backends_confirmed_at);
@@ -77,8 +85,8 @@
 }
 
 bool AreBackendsUsable(const State& state) {
-  // Where no list was ever had there is nothing to go by, however silent the
-  // store is: none would be taken for a list without servers.
+  // Without a first list there is nothing to serve by, even if the store is
+  // unresponsive: a missing list would be taken for a list without servers.
   const Time confirmed_at = state.store.backends_confirmed_at;
   return confirmed_at != Time{} && IsUsable(state, confirmed_at);
 }
@@ -147,11 +155,12 @@
 
 Time LapseEnd(const State& state) {
   const Time confirmed_at = state.store.backends_confirmed_at;
-  // The copy may lack it, however well it lives.
+  // The backup may lack the entry of a server that runs well.
   if (IsJustRestored(state)) return RestoreEnd(state);
   const Time end = state.now + kExpiredEntryWait;
-  // It may have left as soon as it was last known to be there. After a longer
-  // silence nothing is known of that time, and all of them may have lapsed.
+  // The server may have left right after its entry was last confirmed. After a
+  // longer time without confirmation nothing is known of that time, and all
+  // entries may have expired.
   return IsRecentlyConfirmed(state, confirmed_at)
              ? std::min(end,
                         confirmed_at + PropagationShare(state, kUsableShare))
--- a/serving/src/store_eras.cc
+++ b/serving/src/store_eras.cc
@@ -4,47 +4,55 @@
 #include "internal/steps.h"
 #include "scaleshed/serving/reducer.h"
 
-// The store may come back from an older copy. What was acknowledged and lost is
-// written again by whom it belongs to; until then this daemon goes by what it
-// and the others knew, and takes little of the copy for proof.
+// Handles restores of the store from a backup. The owners of acknowledged
+// entries that the restore lost write them again; until then this daemon serves
+// by what it and the other daemons knew before, and accepts little of the
+// backup as confirmation.
 namespace scaleshed::serving {
 namespace internal {
 namespace {
 
-// Whoever wrote to the store has the time to write it again: entries of backend
-// servers come with the second heartbeat at the latest. What the copy holds
-// after that is taken for what was there last.
+// The time after a restore in which the owners of entries can write them again:
+// backend servers do so with their second heartbeat at the latest. What the
+// store holds after this time is taken as current.
 constexpr Duration kReconciliationTime = milliseconds(2500);
-// An entry of a backend server that has gone lapses within three heartbeats.
+// The time after a restore for which a restored entry of a server that was
+// known to be deleted is ignored. The entry of a server that no longer runs
+// expires within three heartbeats.
 constexpr Duration kRestoredTombstoneTime = seconds(5);
-// A daemon that starts waits for a word of so many others before the store
-// alone proves its configuration: they may know of a restore, unless they have
-// just started too.
+// A starting daemon waits for a snapshot from this number of other daemons
+// before it accepts the store alone as confirmation of its configuration: they
+// may know of a restore, unless they have just started too.
 constexpr std::size_t kSufficientPeers = 4;
-// No longer than that where it hears some, or nobody: entries outlast daemons,
-// and a copy may lack those of daemons that live.
+// Bounds of that wait for a daemon that receives snapshots from fewer daemons,
+// or from none: entries of daemons outlast their processes, and a backup may
+// lack the entries of running daemons.
 constexpr Duration kMaxWaitWithFewPeers = milliseconds(400);
 constexpr Duration kMaxWaitWithoutPeers = seconds(1);
 
-// One of the daemons that lead their data centres' questions notes that an era
-// is settled; the others see it by then.
+// The maximum random delay before a lead poller records in the store that the
+// epoch is reconciled. It is long enough that the first of the data centres'
+// lead pollers to write usually spares the others the write.
 constexpr Duration kMaxRecordDelay = seconds(1);
-// Unless the note is seen, it is written again.
+// The record is written again after this time if it hasn't been observed.
 constexpr Duration kRecordRetryInterval = seconds(4);
 
-// Nothing has proved its configuration yet.
+// Returns whether this daemon's configuration was never confirmed.
 bool IsStarting(const State& state) { return state.confirmed_at == Time{}; }
 
-// The newest that this daemon has or has heard of.
+// Returns the stamp of the newest configuration that this daemon has or knows
+// to exist.
 ConfigurationStamp NewestStamp(const State& state) {
   const ConfigurationStamp& wanted = state.store.read_wanted;
   return IsNewer(wanted, StampOf(state)) ? wanted : StampOf(state);
 }
 
+// Returns whether enough other daemons have been heard, or waited for, to know
+// of a restore that one of them noticed.
 bool HasHeardFromPeers(const State& state) {
-  // A store that tells no era is not known to have been restored.
+  // A store that reports no epoch is not known to have been restored.
   if (state.store.epoch.number == 0 || !IsStarting(state)) return true;
-  // With the peers the store told which era was settled last.
+  // The store reports the recorded reconciled epoch with its list of peers.
   if (!state.peers_listed) return false;
   const auto live_peers = static_cast<std::size_t>(
       std::count_if(state.members.begin(), state.members.end(),
@@ -61,14 +69,14 @@
   if (std::exchange(epoch.reconciled, true)) return;
   state.has_unpublished_changes = true;
   epoch.record_due = state.now + RandomDuration(state, kMaxRecordDelay);
-  // Now a question can prove the configuration.
+  // A store query can confirm the configuration from now on.
   state.store.poll_due = state.now;
   Log(state, "store_settled",
       {{"era", std::to_string(epoch.number)}, {"why", reason}});
 }
 
-// A daemon that starts hears of a restore that the others know, or that none of
-// them was there to notice.
+// Makes a starting daemon treat the epoch as restored: other daemons know of
+// the restore, or no daemon was running to notice it.
 void AdoptRestore(State& state, Duration reconciling_for) {
   StoreEpoch& epoch = state.store.epoch;
   epoch.restored_at = epoch.restored_at.value_or(state.now);
@@ -77,7 +85,8 @@
       std::max(epoch.reconciled_at, state.now + reconciling_for);
 }
 
-// The operators wrote it since the restore, so that it is their newest.
+// Returns whether the operators wrote the stored configuration after the
+// restore, so that it is their newest.
 bool IsRewritten(const State& state, const ConfigurationStamp& stored) {
   const StoreEpoch& epoch = state.store.epoch;
   const StoreRevision& stored_revision = stored.revision;
@@ -132,7 +141,7 @@
        {"backends", std::to_string(state.backends.size())},
        {"contents", std::to_string(state.quarantine.size())}});
   state.effects.emplace_back(RewriteOwnEntry{});
-  // The others hear of it by relays.
+  // The other daemons learn of the restore from relays.
   if (state.store.watching) state.effects.emplace_back(ListStore{});
 }
 
@@ -213,12 +222,12 @@
 void ApplyPeerRestore(State& state, const LoadSnapshot& snapshot) {
   ObserveEpoch(state, snapshot.epoch, snapshot.peer_address);
   StoreEpoch& epoch = state.store.epoch;
-  // A daemon that starts can't know of it otherwise.
+  // A starting daemon can't learn of the restore otherwise.
   const bool is_starting = IsStarting(state) && snapshot.epoch == epoch.number;
   if (is_starting && snapshot.reconciling_for > Duration::zero()) {
     AdoptRestore(state, snapshot.reconciling_for);
   }
-  // It is known to daemons only: the store has lost it.
+  // The store has lost this configuration: only daemons have it.
   const bool is_lost = snapshot.configuration.revision.epoch < epoch.number;
   if (is_lost)
     ScheduleConfigurationRead(state, snapshot.configuration,
@@ -233,7 +242,8 @@
     AwaitConfiguration(state, relay.digest.configuration, queried_at);
     return;
   }
-  // Whatever was the newest then, what is known here is at least as new.
+  // The configuration known here is at least as new as the one that was
+  // confirmed as the newest at that time.
   MarkReconciled(state, "relay");
   ConfirmConfiguration(state, queried_at);
 }
