--- a/serving/src/store_following.cc
+++ b/serving/src/store_following.cc
@@ -8,57 +8,72 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// Daemons of a data centre that put the questions for all of it. Two, so that
-// the others hear on when one dies, freezes or is cut off.
+// The daemons of a data centre that poll the store for all of its daemons: two,
+// so that the others still receive relays when one crashes, hangs or is cut
+// off.
 constexpr std::size_t kPollersPerDataCentre = 2;
-// Parts of the time within which news have to be in force. Askers ask so often,
+// The interval between polls of the lead poller, as a share of the propagation
+// limit.
 constexpr double kPollIntervalShare = 0.45;
-// the second one when it has missed the first one's word: a round and the time
-// between two whole snapshots to an asker, which is how old a relayed proof may
-// have to be taken for,
+// The share of the propagation limit after the last freshness confirmation at
+// which the second poller queries the store because the lead poller's relay is
+// missing. It covers a poll interval and the time between two full snapshots to
+// a poller: a relayed confirmation may have to count as that old.
 constexpr double kSecondPollerShare = 0.63;
-// and a daemon asks for itself when what it heard is older: later than a round
-// and the time between two whole snapshots to an asker, which is how old a
-// relayed proof may have to be taken for; early enough for a question and its
-// answer.
+// The share of the propagation limit after the last freshness confirmation at
+// which any other daemon queries the store itself. It exceeds a poll interval
+// plus the time between two full snapshots to a poller, as a relayed
+// confirmation may have to count as that old, and leaves time for a query and
+// its response.
 constexpr double kOwnQueryShare = 0.74;
-// Drawn once for each daemon, so that those who lost their askers don't ask at
+// The largest addition to kOwnQueryShare. It is fixed for each daemon by a hash
+// of its address, so that daemons that lost their pollers don't all query at
 // the same moment.
 constexpr double kOwnQueryJitterShare = 0.1;
-// A new configuration is read by each daemon within this part of that time
-// after it heard of it, at a moment that is drawn,
+// The largest delay, as a share of the propagation limit, before a daemon reads
+// a new configuration that it has learnt of; the delay is random.
 constexpr double kReadDelayShare = 0.15;
-// and not more often than this, whatever the number of changes.
+// The shortest interval between two reads of a configuration, as a share of the
+// propagation limit, however many changes there are.
 constexpr double kMinReadIntervalShare = 0.25;
-// Entries that differ from an asker's for longer than relays are underway.
+// The share of the propagation limit for which a daemon's entries may differ
+// from a poller's before the daemon lists the store. It exceeds the time that
+// relays take to arrive.
 constexpr double kDigestMismatchShare = 0.35;
-// A daemon whose question failed does not ask for others for so long, unless
-// one succeeds before.
+// How long a daemon whose store query failed doesn't poll for others, unless a
+// query succeeds earlier.
 constexpr Duration kUnreachableTime = seconds(5);
-// After failed questions; doubled for each, half of it drawn.
+// The backoff after a failed store query. It doubles with each further failure;
+// half of it is random.
 constexpr Duration kInitialBackoff = milliseconds(100);
 constexpr int kMaxBackoffDoublings = 4;
-// Many that lost the store together ask no more often together than a few do:
-// the first one that is answered tells the others of its data centre. At 59 a
-// data centre all asked 245 times a second.
+// The backoff grows with the number of daemons in a data centre beyond this
+// one, so that many daemons that lost the store send no more queries together
+// than a few do: the first one that gets a response relays it to the others.
+// Without this, 59 daemons a data centre sent 245 queries a second together.
 constexpr std::size_t kUnscaledBackoffDaemons = 8;
 constexpr Duration kMaxBackoff = seconds(4);
-// Daemons that went while nobody told are forgotten by a list of all, so often.
+// The interval between full lists of the store. A list removes daemons that
+// ended without a notice.
 constexpr Duration kListInterval = seconds(60);
-// Changes that come together are told together.
+// The shortest interval between relays of changes, so that changes that arrive
+// together are relayed together.
 constexpr Duration kRelayBatchInterval = milliseconds(10);
-constexpr std::size_t kMaxChangesPerRelay =
-    64;  // in one message, of about 100 bytes
-// Longer than any relay is on its way that still proves something.
+// Limits the changes and the crash records of one message; each takes about
+// 100 bytes.
+constexpr std::size_t kMaxChangesPerRelay = 64;
+// How long the send times of this daemon's snapshots are kept: longer than a
+// relay whose confirmation is still usable can be in transit.
 constexpr Duration kSentSnapshotRetention = seconds(6);
+// The shortest interval between two recorded send times.
 constexpr Duration kSentSnapshotResolution = milliseconds(20);
 
 Duration PollInterval(const State& state) {
   return FractionOf(state.options.propagation_limit, kPollIntervalShare);
 }
 
-// The daemons of this data centre that ask, as far as this one can tell: they
-// agree on them without a word.
+// Returns the pollers of this data centre as far as this daemon can tell. The
+// daemons agree on them without messages, as all rank the same members.
 std::vector<std::string> SelectPollers(const State& state) {
   const std::string& data_centre = state.options.data_centre;
   auto pollers = StrongestOf(
@@ -85,7 +100,7 @@
   const Duration limit =
       FractionOf(state.options.propagation_limit,
                  kOwnQueryShare + kOwnQueryJitterShare * jitter);
-  // After its start a daemon waits as long for a first proof.
+  // A daemon that has started waits as long for its first confirmation.
   const Time confirmed_at = StoreConfirmedAt(state);
   const Time since =
       confirmed_at == Time{} ? state.store.role_since : confirmed_at;
@@ -146,9 +161,10 @@
   state.effects.emplace_back(std::move(query));
 }
 
-// A daemon of this data centre that has told that it has that revision; drawn,
-// so that each that has got it takes a share of those that lack it; else who
-// told of it.
+// Returns the peer to read the configuration `stamp` from: a random daemon of
+// this data centre that has published that it has it, so that the daemons that
+// have it share the reads of those that don't; if there is none, the daemon
+// that first reported the configuration.
 std::string PickSourcePeer(State& state, const ConfigurationStamp& stamp) {
   std::vector<const std::string*> holders;
   for (const auto& [address, member] : state.members) {
@@ -202,7 +218,7 @@
   for (const ObservedCrashes& it : state.store.crashes) {
     if (all || !it.relayed) crashes.push_back(it.crashes);
   }
-  // The newest; a list brings the rest.
+  // Only the newest are relayed; a list of the store brings the rest.
   const std::size_t n = std::min(crashes.size(), kMaxChangesPerRelay);
   return {crashes.end() - static_cast<std::ptrdiff_t>(n), crashes.end()};
 }
@@ -261,14 +277,14 @@
          store.crashes.front().observed_at < relayed_since) {
     store.crashes.pop_front();
   }
-  // News of an entry are not on their way for longer than a list is apart.
+  // No change of an entry is in transit for longer than the list interval.
   std::erase_if(store.tombstones, [&](const auto& it) {
     return it.second.observed_at < state.now - kListInterval;
   });
 }
 
-// When this daemon's snapshot of that number left, or a little earlier; nothing
-// where that is not remembered.
+// Returns when this daemon sent its snapshot with that number, or a slightly
+// earlier time; nothing if that is no longer recorded.
 std::optional<Time> SentAt(const State& state, std::uint64_t incarnation,
                            std::uint64_t sequence) {
   if (incarnation != state.options.incarnation) return std::nullopt;
@@ -280,18 +296,20 @@
   return at;
 }
 
-// The asker knows just as much of this era: so do the revisions here.
+// Moves the revisions known here to the store's epoch, as the poller knows the
+// same entries in that epoch.
 void AdoptEpoch(State& state) {
   const std::uint64_t epoch = state.store.epoch.number;
   if (std::exchange(state.store.epoch.revisions_epoch, epoch) == epoch) return;
   for (auto& [id, backend] : state.backends) {
-    // One that the copy lacks has no revision there.
+    // An entry that the backup lacks has no revision in this epoch.
     if (!backend.gone_at) backend.server.revision.epoch = epoch;
   }
   state.quarantine.AdoptEpoch(epoch);
 }
 
-// What is proved by an asker that knows just as much.
+// Applies the freshness confirmation of a relay. It confirms what the poller
+// and this daemon both know.
 void ApplyConfirmation(State& state, const StoreRelay& relay, Time sent_at) {
   StoreFollowing& store = state.store;
   const StoreDigest own = DigestOf(state);
@@ -342,7 +360,8 @@
 void FollowStore(State& state) {
   StoreFollowing& store = state.store;
   if (!store.started) {
-    // Who else is there is heard before it is decided who asks.
+    // The daemon receives snapshots of the other daemons for one poll interval
+    // before it determines the pollers.
     store.started = true;
     store.poll_due = state.now + PollInterval(state);
     store.listed_at = state.now;
@@ -420,10 +439,11 @@
   ScheduleConfigurationRead(state, relay.digest.configuration,
                             relay.peer_address);
   if (!relay.backends_age && !relay.configuration_age) return;
-  // What was proved of a history that is lost proves nothing.
+  // A confirmation from another epoch confirms nothing: that history is lost.
   if (relay.epoch != state.store.epoch.number) return;
   if (relay.backends_age) RecordPeerStoreResponse(state, *relay.backends_age);
-  // It was sent after that snapshot of ours had left, on our clock.
+  // The relay was sent after the snapshot of ours that it names; our own clock
+  // gives the time of that snapshot, and so the earliest time of the relay.
   const auto sent_at =
       SentAt(state, relay.heard_incarnation, relay.heard_sequence);
   if (!sent_at) return;
@@ -435,7 +455,7 @@
 }
 
 void RecordChange(State& state, BackendChange change) {
-  // Those who listen have nobody to tell.
+  // Only pollers relay changes.
   if (!state.store.watching) return;
   state.store.changes.push_back(
       {.change = std::move(change), .observed_at = state.now});
--- a/serving/src/stored_endings.cc
+++ b/serving/src/stored_endings.cc
@@ -4,29 +4,35 @@
 #include "internal/durations.h"
 #include "internal/steps.h"
 
-// What the store holds of the quarantine, so that it outlasts all daemons.
+// Exchanges the quarantine's crash records with the store, so that they outlast
+// all daemons.
 namespace scaleshed::serving::internal {
 namespace {
 
-// A write may wait for others that follow at once: all requests that were at
-// one server are cut within some ms.
+// The delay before a write, in which further crash records are collected: when
+// a server crashes, all its requests are interrupted within some milliseconds.
 constexpr Duration kSaveDelay = milliseconds(40);
-// Those who lead the asking in their data centres write one after another,
+// The additional delay for each data centre that comes before this one: the
+// lead pollers of the data centres write one after another.
 constexpr Duration kLeadPollerStagger = milliseconds(300);
-// and anybody else when none of them has, at a moment that is drawn.
+// The delay after which any other daemon writes if no lead poller has; an equal
+// random part is added.
 constexpr Duration kFallbackSaveDelay = milliseconds(1500);
-// After one, until which its own news have come back.
+// The delay after a write until the next one. The daemon's own changes have
+// come back from the store by then.
 constexpr Duration kNextSaveDelay = milliseconds(200);
-// Each takes a condition and a write, of 32 entries that a transaction has.
+// Each fingerprint takes a condition and a write of the 32 entries that a
+// transaction may have.
 constexpr std::size_t kMaxSavedFingerprints = 16;
 
-// Where more servers than these end within this, one of the ends says next to
-// nothing of a content that was there, and whole answers forgive it soon: only
-// contents that were at two are written.
+// The number of servers that may end within kRecentCrashWindow before single
+// crashes stop counting: if more end, one crash says next to nothing about a
+// fingerprint that was there, and successful responses clear it soon. Only
+// fingerprints with two crashes are written then.
 constexpr std::size_t kMaxIsolatedCrashes = 2;
 constexpr Duration kRecentCrashWindow = seconds(10);
 
-// The ends of a content from which on they are worth a write.
+// Returns the number of crashes from which on a fingerprint is worth a write.
 std::size_t MinCrashesToSave(const State& state) {
   const auto recent_crashes =
       std::count_if(state.ended_incarnations.begin(),
@@ -36,10 +42,11 @@
   return static_cast<std::size_t>(recent_crashes) > kMaxIsolatedCrashes ? 2 : 1;
 }
 
-// How long what the store lacks waits for this daemon to write it.
+// Returns how long this daemon waits before it writes crash records that the
+// store lacks.
 Duration SaveDelay(State& state) {
-  // Where it is not known yet who leads, as after a kill of all, a late write
-  // may never be made.
+  // While the lead poller isn't known yet, as after all daemons were killed,
+  // a late write may never be made.
   if (!state.store.has_role)
     return kSaveDelay + RandomDuration(state, kSaveDelay);
   if (!state.store.is_lead_poller)
