--- a/serving/test/proofs_test.cc
+++ b/serving/test/proofs_test.cc
@@ -1,5 +1,5 @@
-// What a daemon goes by, and for how long, while it can't be sure that it is
-// the newest.
+// Tests which store state a daemon serves by, and for how long, while it can't
+// be sure that the state is the newest.
 
 #include <catch2/catch.hpp>
 #include <vector>
@@ -12,17 +12,18 @@
 using test::Daemon;
 using test::MakeConfiguration;
 
-// Of both, in the harness.
+// The propagation limit of configurations and of backend servers in the test
+// harness.
 constexpr Duration kPropagationLimit = seconds(2);
 
-// A daemon without others, whose questions to the store are not answered while
-// a watch brings it one configuration after another.
+// A lone daemon whose store queries stay unanswered while a watch brings it one
+// configuration after another.
 class LaggingDaemon {
  public:
   LaggingDaemon() { ConfirmStoreState(); }
 
   Daemon& daemon() { return daemon_; }
-  // All that it knows is the newest.
+  // Confirms that all state the daemon knows is the newest.
   void ConfirmStoreState() {
     daemon_.Feed(ConfigurationConfirmed{.revision = {.number = revision_},
                                         .queried_at = daemon_.now()});
@@ -43,9 +44,10 @@
   std::uint64_t revision_ = 1;
 };
 
-// Seen: a request reached a backend server 3.4 s after its word that it leaves
-// (the whole story stands in store_trouble_test.cc). The age of what a daemon
-// knew of backend servers was looked at by nobody.
+// Guards against the use of an outdated list of backend servers, whose age was
+// not checked: a request reached a backend server 3.4 s after the server had
+// announced that it was leaving. store_trouble_test.cc tests the same failure
+// in a fleet.
 TEST_CASE("A daemon that lags behind the store sends nothing") {
   LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
@@ -63,7 +65,7 @@
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("A request that waits to be sent again waits for a proof too") {
+TEST_CASE("A request that waits for a retry also waits for a confirmation") {
   LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
   daemon.SendRequest("safe");
@@ -81,7 +83,8 @@
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("A prompt whose memory comes too late for the proof isn't begun") {
+TEST_CASE(
+    "A prompt isn't sent if its memory is granted too late for freshness") {
   LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
   lagging.Lag(milliseconds(1800));
@@ -101,7 +104,7 @@
   }
 }
 
-TEST_CASE("While the store says nothing at all, work goes on") {
+TEST_CASE("A daemon goes on serving while the store is unresponsive") {
   LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
   for (int i = 0; i < 40; ++i) {
@@ -112,10 +115,11 @@
   }
 }
 
-// An entry that is seen gone right after a call failed may only have lapsed,
-// and is waited for. That it could have left ever since it was last known to
-// be there was not counted.
-TEST_CASE("An entry that is gone is used no longer than news may take") {
+// An entry that is found deleted right after a failed call may only have
+// expired, so that the daemon waits for it to come back. Guards against a wait
+// that ignores that the server may have left right after its entry was last
+// confirmed.
+TEST_CASE("A deleted entry is used no longer than the propagation limit") {
   LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
   daemon.Feed(BackendsConfirmed{.queried_at = daemon.now()});
@@ -127,10 +131,10 @@
   CHECK_FALSE(daemon.state().backends.contains("app0"));
 }
 
-// A daemon that starts as the store falls silent has no list of servers. Where
-// known lists are gone by in a silence, none is not an empty one: it was ready,
-// and refused for want of servers.
-TEST_CASE("The silence of the store is no list of servers") {
+// A daemon that starts when the store stops responding has no list of servers.
+// Guards against treating the missing list as an empty one: the daemon reported
+// that it was ready, and refused requests for lack of servers.
+TEST_CASE("A daemon without a list of servers isn't ready without the store") {
   State state({.instance = "1.1.1.1:1", .peer_address = "1.1.1.1:2"});
   Time now = test::kStart;
   const auto feed = [&](EventBody body) {
@@ -139,7 +143,7 @@
   feed(ConfigurationReceived{.configuration = MakeConfiguration(1),
                              .queried_at = now});
   feed(StoreQueried{});
-  // It says nothing, and then something again that is no list.
+  // The store doesn't respond; later it responds, but with no list.
   for (int i = 0; i < 30; ++i) {
     now += milliseconds(100);
     feed(Tick{});
--- a/serving/test/relay_fleet.h
+++ b/serving/test/relay_fleet.h
@@ -20,14 +20,20 @@
 
 inline constexpr int kDaemons = 5;
 inline constexpr Duration kStep = milliseconds(10);
-// Of a calm fleet: what the store has taken is known everywhere within this.
+// In a recovered fleet every daemon knows what the store has accepted within
+// this time.
 inline constexpr Duration kPropagationLimit = seconds(2);
-// So long after trouble a daemon counts as calm again.
+// A daemon counts as recovered this long after its last fault.
 inline constexpr Duration kRecoveryTime = seconds(3);
-// A daemon that serves by something old does so for longer than this.
+// The interval between checks of what a daemon serves by: one that serves by
+// outdated state does so for longer than this.
 inline constexpr Duration kCheckInterval = 5 * kStep;
 
-// Five daemons of one data centre, their messages and the store.
+// A simulation of five daemons of one data centre, their messages and the
+// store, for property-based tests. ApplyStep() applies a random step: a change
+// in the store, a fault or the passing of time. The fleet checks the daemons
+// all the while; CheckRecovery() ends all faults and checks that every daemon
+// knows the newest state. violations() lists the rules that were broken.
 class RelayFleet {
  public:
   RelayFleet() {
@@ -48,26 +54,26 @@
       case 2:
         store_.Remove(step.first % kServers, now_);
         break;
-      case 3:  // frozen: what comes waits, its clock goes on
+      case 3:  // hangs: messages to it wait while its clock goes on
         node.frozen_until = now_ + milliseconds(step.second * 5);
         break;
-      case 4:  // dies and comes back with nothing
+      case 4:  // is killed and starts again without any state
         KillOf(step.first % kDaemons);
         break;
-      case 5:  // cut from the store
+      case 5:  // doesn't reach the store
         node.store_away_until = now_ + milliseconds(step.second * 5);
         break;
-      case 6:  // hears nobody, or is heard by nobody
+      case 6:  // receives no messages, or none that it sends arrives
         (step.second % 2 == 0 ? node.deaf_until : node.mute_until) =
             now_ + milliseconds(step.second * 4);
         break;
-      case 7:  // messages are late and doubled
+      case 7:  // messages arrive twice, once late
         late_until_ = now_ + milliseconds(step.second * 4);
         break;
-      case 8:  // watches say nothing
+      case 8:  // watches report nothing
         watches_muted_until_ = now_ + milliseconds(step.second * 5);
         break;
-      case 9:  // answers begin at once, and are whole much later
+      case 9:  // store responses begin at once but complete much later
         crawls_until_ = now_ + milliseconds(step.second * 8);
         crawl_ = milliseconds(100 + step.first * 3);
         break;
@@ -88,19 +94,19 @@
         if (!store_.HasCopy()) break;
         Restore(milliseconds(step.first * 2), milliseconds(step.second * 2));
         break;
-      case kKillsAll:  // nobody is left who knows anything
+      case kKillsAll:  // no daemon is left that knows any state
         for (int i = 0; i < kDaemons; ++i) KillOf(i);
         break;
       default:
         Pass(milliseconds(step.second));
     }
-    // A daemon that died begins with the trouble of its last life.
+    // A new incarnation keeps the fault time of the one before.
     node.troubled_until =
         std::max({before, node.troubled_until, TroubleEnd(node, step)});
     Pass(kStep);
   }
 
-  // Kinds of steps beyond those.
+  // The kinds of steps that only some tests use.
   static constexpr int kCopies = 16;
   static constexpr int kRestores = 17;
   static constexpr int kKillsAll = 18;
@@ -111,7 +117,8 @@
     node.troubled_until = now_;
   }
 
-  // All is well again: everybody knows what the store took before.
+  // Ends all faults and checks that every daemon then knows what the store
+  // accepted within the propagation limit.
   void CheckRecovery() {
     crawls_until_ = now_;
     Pass(seconds(10));
@@ -123,17 +130,19 @@
     Pass(kPropagationLimit);
     for (const Node& it : nodes_) {
       if (it.state->configuration->configuration().stamp() != store_.stored()) {
-        Violate("a calm daemon has an old configuration");
+        Violate("a recovered daemon has an old configuration");
       }
       const std::string missing = store_.Missing(it.state->backends, now_);
-      if (!missing.empty()) Violate("a calm daemon does not know: " + missing);
+      if (!missing.empty())
+        Violate("a recovered daemon does not know: " + missing);
       CheckUse(*it.state);
     }
   }
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  // Who is there is used as the life that it is now.
+  // Checks that every listed server is known by its current incarnation, and as
+  // unusable exactly if its entry is.
   void CheckUse(const State& state) {
     for (const auto& [id, entry] : store_.servers()) {
       const auto found = state.backends.find(id);
@@ -143,38 +152,39 @@
       }
       const BackendServer& known = found->second.server;
       if (known.entry_error.empty() != entry.entry_error.empty()) {
-        Violate(id + " is used though its entry names none, or is not");
+        Violate(id + " is usable though its entry is faulty, or the reverse");
       }
       if (entry.entry_error.empty() &&
           known.start_unix_ms < entry.start_unix_ms) {
-        Violate(id + " is known by an earlier life");
+        Violate(id + " is known by an earlier incarnation");
       }
     }
     if (state.backends.at("app2").server.leaving) {
-      Violate("a new life is taken to leave");
+      Violate("a new incarnation counts as leaving");
     }
   }
 
   struct Node {
     std::unique_ptr<State> state;
-    std::deque<EventBody> waiting;  // while it is frozen
+    std::deque<EventBody> waiting;  // received while it hangs
     Time frozen_until{};
     Time store_away_until{};
     Time deaf_until{};
     Time mute_until{};
     Time troubled_until{};
     bool watching = false;
-    StoreRevision watched;  // of the store, that a watch has told
+    StoreRevision watched;  // the store's revision that a watch last reported
     ConfigurationStamp highest;
   };
   struct Message {
     Time due{};
     std::size_t to = 0;
-    std::uint64_t life = 0;  // whose call it answers; zero: a datagram
+    // The incarnation whose store call this answers; zero: a datagram.
+    std::uint64_t life = 0;
     EventBody body;
   };
 
-  // Until when what was drawn harms that daemon itself.
+  // Returns until when the fault of `step` affects the daemon itself.
   Time TroubleEnd(const Node& node, const DrawnStep& step) const {
     constexpr int kFirst = 3;
     constexpr int kLast = 6;
@@ -205,7 +215,8 @@
     return node;
   }
 
-  // The store is away for a while; later its writers find what it has lost.
+  // Restores the store from the backup. It is unavailable for `away`; after
+  // another `written_after` the owners write again what it has lost.
   void Restore(Duration away, Duration written_after) {
     store_.Restore();
     away_until_ = now_ + away;
@@ -342,7 +353,7 @@
     Answer(i, now_ + milliseconds(300), StoreUnreachable{});
     return false;
   }
-  // Answers tell the store as it was when the question came there.
+  // Responses report the store's state at the time of the query.
   void AnswerQuestion(std::size_t i, const PollStore& question) {
     if (!ReachesStore(i)) return;
     const Time back = Back(i);
@@ -364,7 +375,7 @@
     Answer(i, back, SettledEra());
     Answer(i, back, Servers(now_));
   }
-  // Another daemon tells it, or else the store.
+  // Another daemon sends the configuration, or else the store does.
   void AnswerRead(std::size_t i, const ReadConfiguration& read) {
     const Node* from = FindNode(read.source_peer);
     const bool told = from != nullptr && from->mute_until <= now_ &&
@@ -388,7 +399,8 @@
   static ConfigurationStamp StampOf(const Node& node) {
     return node.state->configuration->configuration().stamp();
   }
-  // When an answer is whole; that it began is seen at once.
+  // Returns when a store response is complete. The daemon sees the beginning of
+  // a slow response early.
   Time Back(std::size_t i) {
     if (crawls_until_ <= now_) return now_ + 2 * kStep;
     Answer(i, now_ + 2 * kStep, StoreResponded{});
@@ -419,17 +431,18 @@
     if (IsNewer(node.highest, known)) Violate("the configuration went back");
     node.highest = known;
     if (store_.HadNewer(known, state.confirmed_at)) {
-      Violate("an old configuration is taken for proved");
+      Violate("an old configuration counts as confirmed");
     }
     const std::string missing =
         store_.Missing(state.backends, state.store.backends_confirmed_at);
-    if (!missing.empty()) Violate("taken for proved: " + missing);
+    if (!missing.empty())
+      Violate("outdated, but counts as confirmed: " + missing);
     CheckServing(node);
   }
 
   void CheckServing(const Node& node) {
     State& state = *node.state;
-    // A request that came now would be decided by now's clock.
+    // A request that arrived now would be decided at the current time.
     state.now = std::max(state.now, now_);
     const bool calm =
         std::max(node.troubled_until + kRecoveryTime, excused_until_) <= now_;
@@ -437,10 +450,11 @@
     if (!calm || !looks || !IsServing(state)) return;
     const Time due = now_ - kPropagationLimit;
     if (store_.HadNewer(StampOf(node), due)) {
-      Violate("a calm daemon serves by an old configuration");
+      Violate("a recovered daemon serves by an old configuration");
     }
     const std::string missing = store_.Missing(state.backends, due);
-    if (!missing.empty()) Violate("a calm daemon serves though " + missing);
+    if (!missing.empty())
+      Violate("a recovered daemon serves though " + missing);
   }
 
   void Violate(const std::string& what) { violations_.push_back(what); }
@@ -452,7 +466,7 @@
   std::vector<Message> messages_;
   Time away_until_{};
   Time write_again_at_ = Time::max();
-  Time excused_until_{};  // of what the operators wrote again late
+  Time excused_until_{};  // for the late rewrites after a restore
   Time late_until_{};
   Time watches_muted_until_{};
   Time crawls_until_{};
@@ -460,7 +474,8 @@
   std::vector<std::string> violations_;
 };
 
-// Whether no sequence of drawn steps of the first `kinds` kinds breaks a rule.
+// Returns whether no sequence of random steps of the first `kinds` kinds breaks
+// a rule.
 inline bool HoldsUnderSteps(const char* what, int kinds) {
   return rc::check(what, [kinds] {
     const auto steps =
--- a/serving/test/relay_store.h
+++ b/serving/test/relay_store.h
@@ -14,10 +14,10 @@
 
 inline constexpr int kServers = 4;
 
-// The store's truth, with the times of its changes.
-//
-// It may be restored from a copy. Whoever wrote to it writes its last word
-// again after that.
+// A fake of the platform's store that records the time of each change, so that
+// tests can compare what a daemon knows with what the store had accepted at any
+// time. It can be restored from a backup; WriteAgain() then makes the owners of
+// the entries write their latest state again.
 class FakeStore {
  public:
   FakeStore() {
@@ -27,7 +27,7 @@
 
   void Configure(Time now) { Accept(newest() + 1, now); }
   void MakeCopy() { copy_ = {revision_, stored_, servers_, settled_era_}; }
-  // All that was taken since the copy is lost. The store says so itself.
+  // Loses all changes since the backup and begins a new epoch.
   void Restore() {
     ++revision_.epoch;
     revision_.number = copy_.revision.number;
@@ -36,7 +36,7 @@
     settled_era_ = copy_.settled_era;
     for (auto& [id, server] : servers_) server.revision.epoch = revision_.epoch;
   }
-  // The operators and the servers write what the copy lacks.
+  // Makes the operators and the servers write what the backup lacks.
   void WriteAgain(Time now) {
     if (stored_.version < newest()) Accept(newest(), now);
     for (const auto& [id, server] : alive_) {
@@ -47,14 +47,14 @@
                         found->second.entry_error == server.entry_error;
       if (!same) Write(server, now);
     }
-    // Leases of those that have gone run out.
+    // The leases of servers that have ended expire.
     std::vector<std::string> gone;
     for (const auto& [id, server] : servers_) {
       if (!alive_.contains(id)) gone.push_back(id);
     }
     for (const std::string& it : gone) Erase(it, now);
   }
-  // The daemons' own note.
+  // Records the reconciled epoch for a daemon.
   void NoteSettledEra(std::uint64_t era) {
     Next();
     settled_era_ = era;
@@ -71,12 +71,12 @@
            .start_unix_ms = born_[id]},
           now);
   }
-  // Another life under the same id.
+  // Writes the entry of a new incarnation under the same id.
   void StartAgain(int i, Time now) {
     born_["app" + std::to_string(i)] += 1000;
     Put(i, false, now);
   }
-  // A late write of the life before.
+  // Applies a delayed write of the previous incarnation.
   void WriteLate(int i, Time now) {
     const std::string id = "app" + std::to_string(i);
     if (!servers_.contains(id) || born_[id] == 0) return;
@@ -85,7 +85,7 @@
     alive_[id] = servers_[id];
     changes_.back().server = servers_[id];
   }
-  // Somebody else writes what names no backend server.
+  // Writes an entry, by another process, that names no usable backend server.
   void Forge(int i, Time now) {
     Write({.id = "app" + std::to_string(i), .entry_error = "state: ?"}, now);
   }
@@ -100,14 +100,15 @@
   const std::map<std::string, BackendServer>& servers() const {
     return servers_;
   }
-  // Whether a newer configuration than `known` had been accepted at `then`,
-  // lost or not.
+  // Returns whether a newer configuration than `known` had been accepted before
+  // `then`, even if the store has lost it since.
   bool HadNewer(const ConfigurationStamp& known, Time then) const {
     return std::any_of(accepted_.begin(), accepted_.end(), [&](const auto& it) {
       return IsNewer(it.first, known) && it.second < then;
     });
   }
-  // The change of an entry up to `then` that `known` lacks; empty if none.
+  // Describes an entry's change before `then` that `known` lacks; empty if
+  // there is none.
   std::string Missing(const std::map<std::string, Backend>& known,
                       Time then) const {
     std::map<std::string, const Change*> last;
@@ -143,7 +144,7 @@
     std::uint64_t settled_era = 0;
   };
 
-  // The operators' last version, whether or not the store still has it.
+  // The operators' last version, even if the store has lost it.
   std::int64_t newest() const {
     return accepted_.empty() ? 0 : accepted_.back().first.version;
   }
@@ -175,11 +176,12 @@
   ConfigurationStamp stored_;
   std::uint64_t settled_era_ = 0;
   Copy copy_;
-  // All that were ever accepted, and when.
+  // All configurations that were ever accepted, and when.
   std::vector<std::pair<ConfigurationStamp, Time>> accepted_;
   std::map<std::string, BackendServer> servers_;
-  std::map<std::string, BackendServer> alive_;  // as they last wrote
-  std::map<std::string, std::uint64_t> born_;   // of the lives, by id
+  std::map<std::string, BackendServer> alive_;  // with their last entries
+  // Start times of the current incarnations by id.
+  std::map<std::string, std::uint64_t> born_;
   std::vector<Change> changes_;
 };
 
--- a/serving/test/store_eras_test.cc
+++ b/serving/test/store_eras_test.cc
@@ -1,4 +1,4 @@
-// What daemons that start take from a store that names its era.
+// Tests what starting daemons accept from a store that reports its epoch.
 
 #include <catch2/catch.hpp>
 
@@ -19,14 +19,14 @@
   return configuration;
 }
 
-// A daemon that has just started and hears nobody.
+// A daemon that has just started and receives no other daemon's snapshots.
 class StartingDaemon {
  public:
   StartingDaemon() {
     Feed(StoreEpochObserved{.epoch = kEpoch});
     Read(StoredConfiguration(3, 7));
   }
-  // What the store's first list tells.
+  // Feeds what the store's first list reports.
   void List(std::uint64_t reconciled_epoch) {
     if (reconciled_epoch != 0)
       Feed(ReconciledEpochObserved{.epoch = reconciled_epoch});
@@ -35,7 +35,7 @@
   void Read(const Configuration& stored) {
     Feed(ConfigurationReceived{.configuration = stored, .queried_at = now_});
   }
-  // The store is asked each 100 ms.
+  // Lets `time` pass; the store confirms the configuration every 100 ms.
   void AdvanceTime(Duration time) {
     for (const Time until = now_ + time; now_ < until;) {
       now_ += milliseconds(100);
@@ -66,8 +66,10 @@
   int record_writes_ = 0;
 };
 
-// A daemon that heard nobody took an older copy for proof.
-TEST_CASE("A restore that no daemon got over is known from the store's note") {
+// Guards against a starting daemon that receives nobody's snapshots and accepts
+// an older backup as confirmed.
+TEST_CASE(
+    "A restore that no daemon survived is known from the store's record") {
   StartingDaemon daemon;
   daemon.List(kEpoch - 1);
   daemon.AdvanceTime(milliseconds(2400));
@@ -76,7 +78,7 @@
   CHECK(daemon.is_confirmed());
 }
 
-TEST_CASE("What the operators write after such a restore is proved at once") {
+TEST_CASE("A configuration written after such a restore is confirmed at once") {
   StartingDaemon daemon;
   daemon.List(kEpoch - 1);
   daemon.AdvanceTime(milliseconds(1100));
@@ -85,7 +87,7 @@
   CHECK(daemon.is_confirmed());
 }
 
-TEST_CASE("A daemon's word of an era far above the store's is not believed") {
+TEST_CASE("A relayed epoch far above the store's is refused") {
   StartingDaemon daemon;
   daemon.List(kEpoch);
   daemon.AdvanceTime(milliseconds(1100));
@@ -98,7 +100,7 @@
   CHECK(daemon.epoch() == relayed_epoch - 1);
 }
 
-TEST_CASE("A store whose era is settled, or that has no note, is believed") {
+TEST_CASE("A store whose epoch is reconciled or unrecorded confirms at once") {
   for (const std::uint64_t reconciled : {kEpoch, std::uint64_t{0}}) {
     StartingDaemon daemon;
     daemon.List(reconciled);
@@ -107,7 +109,7 @@
   }
 }
 
-TEST_CASE("Nothing is proved before the store's first list") {
+TEST_CASE("Nothing is confirmed before the store's first list") {
   StartingDaemon daemon;
   daemon.AdvanceTime(seconds(2));
   CHECK_FALSE(daemon.is_confirmed());
@@ -116,7 +118,7 @@
   CHECK(daemon.is_confirmed());
 }
 
-TEST_CASE("An era that is settled is noted until the note is seen") {
+TEST_CASE("A reconciled epoch is recorded until the record is observed") {
   StartingDaemon daemon;
   daemon.List(0);
   daemon.AdvanceTime(seconds(4));
@@ -127,7 +129,7 @@
   const int before = daemon.record_writes();
   daemon.AdvanceTime(seconds(10));
   CHECK(daemon.record_writes() == before);
-  // Another call that was late took it back.
+  // A delayed write of an older epoch has overwritten the record.
   daemon.Feed(ReconciledEpochObserved{.epoch = kEpoch - 1});
   daemon.AdvanceTime(seconds(1));
   CHECK(daemon.record_writes() == before + 1);
--- a/serving/test/store_following_test.cc
+++ b/serving/test/store_following_test.cc
@@ -1,4 +1,5 @@
-// Who asks the platform's store, and what the others go by.
+// Tests which daemons poll the platform's store and how the others follow it by
+// relays.
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -22,7 +23,7 @@
           .polls_store = true};
 }
 
-// Two addresses that rank before `own` where askers are chosen.
+// Returns two addresses that rank before `own` in the choice of pollers.
 std::vector<std::string> PollersBefore(const std::string& own) {
   const std::uint64_t salt = HashBytes("");
   std::vector<std::string> found;
@@ -35,8 +36,8 @@
   return found;
 }
 
-// A daemon beside two others of its data centre that it hears, and that ask
-// the store for it.
+// A daemon that doesn't poll the store: it receives snapshots from two other
+// daemons of its data centre that poll it.
 class NonPoller {
  public:
   NonPoller() : peers_(PollersBefore(daemon_.state().options.peer_address)) {
@@ -52,8 +53,8 @@
       daemon_.Feed(SnapshotReceived{PeerSnapshot(it, sequence_)});
     }
   }
-  // What an asker with the same knowledge would tell, having heard all that
-  // this daemon said until now.
+  // Returns the relay of a poller that knows the same entries and has received
+  // all snapshots that this daemon has sent until now.
   StoreRelay Confirmation(Duration age = milliseconds(5)) {
     return {.peer_address = peers_.front(),
             .digest = Digest(),
@@ -75,8 +76,8 @@
   void Relay(const StoreRelay& relay) {
     daemon_.Feed(StoreRelayReceived{relay});
   }
-  // Whether it asks the store itself while `time` passes and it hears what its
-  // peers say.
+  // Returns whether the daemon queries the store itself within `time` while it
+  // receives its peers' snapshots and, with `confirmations`, their relays.
   bool QueriesWithin(Duration time, bool confirmations) {
     bool queried = false;
     for (Duration passed{}; passed < time; passed += milliseconds(100)) {
@@ -94,7 +95,7 @@
   std::uint64_t sequence_ = 0;
 };
 
-TEST_CASE("A lone daemon asks and watches") {
+TEST_CASE("A lone daemon polls and watches the store") {
   Daemon daemon;
   daemon.AdvanceTime(seconds(1));
   const auto* watch = daemon.FirstEffect<WatchStore>();
@@ -106,7 +107,7 @@
   CHECK(query->backends.size() == 9);
 }
 
-TEST_CASE("Of many daemons in a data centre two ask") {
+TEST_CASE("Two of many daemons in a data centre poll the store") {
   const std::vector<std::string> all{"a:1", "b:1", "c:1", "d:1", "e:1", "f:1"};
   int pollers = 0;
   for (const std::string& own : all) {
@@ -121,14 +122,15 @@
   CHECK(pollers == 2);
 }
 
-TEST_CASE("A daemon that hears proofs does not ask, one that hears none does") {
+TEST_CASE(
+    "A daemon queries the store itself only if confirmations are missing") {
   NonPoller non_poller;
   CHECK_FALSE(non_poller.QueriesWithin(seconds(10), /*confirmations=*/true));
   CHECK(non_poller.QueriesWithin(kPropagationLimit, /*confirmations=*/false));
 }
 
 TEST_CASE(
-    "A daemon that starts before there is a configuration waits for news") {
+    "A daemon that starts before there is a configuration waits for relays") {
   State state({.instance = "1.1.1.1:1", .peer_address = "1.1.1.1:2"});
   Time now{seconds(1000)};
   const auto feed = [&](EventBody body) {
@@ -144,7 +146,7 @@
     for (const std::string& it : PollersBefore("1.1.1.1:2")) {
       feed(SnapshotReceived{PeerSnapshot(it, sequence)});
     }
-    // That there is no configuration is proved too.
+    // The relay confirms that there is no configuration.
     feed(StoreRelayReceived{{.peer_address = "2.2.2.2:0",
                              .backends_age = milliseconds(5),
                              .configuration_age = milliseconds(5),
@@ -158,7 +160,7 @@
   CHECK_FALSE(IsServing(state));
 }
 
-TEST_CASE("A daemon whose question failed asks for itself only") {
+TEST_CASE("A daemon whose store query failed doesn't poll for others") {
   Daemon daemon;
   daemon.AdvanceTime(seconds(1));
   daemon.Feed(StoreUnreachable{});
@@ -174,17 +176,17 @@
   CHECK_FALSE(published->snapshot.polls_store);
 }
 
-TEST_CASE("A relay is never taken for younger than it is") {
+TEST_CASE("A delayed relay confirms state only for the time it was sent") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   const StoreRelay relay = non_poller.Confirmation();
-  // It lies in the socket's buffer while the daemon is frozen.
+  // The relay lies in the socket's buffer while the daemon hangs.
   const Time sent = daemon.now();
   daemon.SetNow(daemon.now() + seconds(4));
   non_poller.Relay(relay);
   CHECK(daemon.state().confirmed_at <= sent);
   CHECK(daemon.state().store.backends_confirmed_at <= sent);
-  // One that answers to nothing of this life proves nothing.
+  // A relay that names a snapshot of another incarnation confirms nothing.
   StoreRelay foreign = non_poller.Confirmation();
   foreign.heard_incarnation = daemon.state().options.incarnation + 1;
   const Time before = daemon.state().confirmed_at;
@@ -192,7 +194,7 @@
   CHECK(daemon.state().confirmed_at == before);
 }
 
-TEST_CASE("Older news never revert newer ones") {
+TEST_CASE("An older change never reverts a newer one") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   const BackendServer server = daemon.state().backends.at("app0").server;
@@ -206,7 +208,7 @@
       {.id = "app0", .revision = server.revision, .server = server}};
   non_poller.Relay(relay);
   CHECK_FALSE(daemon.state().backends.contains("app0"));
-  // And the other way round: gone before it came back.
+  // A late deletion from before the entry was written again is ignored too.
   BackendServer back = server;
   back.revision.number = server.revision.number + 9;
   relay.changes = {{.id = "app0", .revision = back.revision, .server = back}};
@@ -218,7 +220,7 @@
   CHECK(daemon.state().backends.contains("app0"));
 }
 
-TEST_CASE("A newer configuration is read by each, once for many changes") {
+TEST_CASE("A daemon reads a newer configuration once for many changes") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   StoreRelay relay = non_poller.Confirmation();
@@ -231,11 +233,13 @@
   }
   CHECK(reads >= 1);
   CHECK(reads <= 3);
-  // A proof of a configuration that this daemon lacks says nothing of its own.
+  // The confirmation of a configuration that this daemon lacks doesn't confirm
+  // the one that it has.
   const Time before = daemon.state().confirmed_at;
   non_poller.Relay(relay);
   CHECK(daemon.state().confirmed_at == before);
-  // Once it knows that one it is proved, for when the asker asked.
+  // Once the daemon has that configuration, it counts as confirmed for the time
+  // at which the poller sent its query.
   non_poller.ReceiveSnapshots();
   daemon.AdvanceTime(milliseconds(100));
   StoreRelay confirmation = non_poller.Confirmation();
@@ -251,7 +255,7 @@
   CHECK(daemon.state().confirmed_at <= sent);
 }
 
-TEST_CASE("A proof of an older configuration proves a newer one") {
+TEST_CASE("A confirmation of an older configuration confirms a newer one") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   const StoreRelay confirmation = non_poller.Confirmation();
@@ -262,9 +266,10 @@
   CHECK(daemon.state().confirmed_at > before);
 }
 
-// Both askers of a data centre put the same question each round: half of the
-// calls of a calm day.
-TEST_CASE("The second asker asks when it misses the word of the first") {
+// Guards against both pollers of a data centre sending the same query in each
+// poll interval, which was half of all store calls in normal operation.
+TEST_CASE(
+    "The second poller queries the store if the first one's relay fails") {
   Daemon daemon;
   const std::string first =
       PollersBefore(daemon.state().options.peer_address).front();
@@ -296,8 +301,9 @@
   CHECK(count_queries(false) >= 4);
 }
 
-// In an outage of 6 s 295 daemons put 3,800 calls to a store that refused them.
-TEST_CASE("Of many that lost the store each asks more rarely") {
+// Guards against a flood of retries: in an outage of 6 s 295 daemons sent 3,800
+// calls to a store that refused them.
+TEST_CASE("The backoff from the store grows with the number of daemons") {
   const auto poll_delay_with_peers = [](int peers) {
     Daemon daemon;
     for (int i = 0; i < peers; ++i) {
@@ -312,32 +318,32 @@
   CHECK(poll_delay_with_peers(58) <= seconds(4));
 }
 
-TEST_CASE("A daemon that alone does not reach the store goes on") {
+TEST_CASE("A daemon that alone doesn't reach the store goes on serving") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   StoreRelay relay = non_poller.Confirmation();
   non_poller.Relay(relay);
   ++relay.digest.configuration.revision.number;
-  // The others know a newer configuration, which it can't read.
+  // The other daemons know a newer configuration, which this one can't read.
   for (int i = 0; i < 35; ++i) {
     non_poller.ReceiveSnapshots();
     relay.heard_sequence = daemon.state().snapshot_sequence;
     non_poller.Relay(relay);
     daemon.AdvanceTime(milliseconds(100));
-    // Nor does any of the others tell it.
+    // No other daemon sends the configuration either.
     if (daemon.FirstEffect<ReadConfiguration>() != nullptr) {
       daemon.Feed(StoreQueried{});
     }
     CHECK(IsServing(daemon.state()));
   }
-  // What reaches it again is asked at once.
+  // The daemon queries the store as soon as it responds again.
   daemon.Feed(StoreResponded{});
   CHECK(IsServing(daemon.state()));
   daemon.AdvanceTime(milliseconds(10));
   CHECK(daemon.FirstEffect<PollStore>() != nullptr);
 }
 
-TEST_CASE("Entries that stay different are listed") {
+TEST_CASE("A daemon lists the store if its entries stay different") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   bool listed = false;
@@ -352,7 +358,7 @@
   CHECK(listed);
 }
 
-TEST_CASE("An asker tells its data centre what changed, and proofs") {
+TEST_CASE("A poller relays changes and confirmations to its data centre") {
   Daemon daemon;
   daemon.AdvanceTime(seconds(1));
   LoadSnapshot here = PeerSnapshot("a:1", 7);
@@ -379,8 +385,10 @@
   CHECK(message.changes.back().server->leaving);
 }
 
-// Its number of the era before was kept, and the lower one dropped as old.
-TEST_CASE("A server that a copy lacks is known by what it writes again") {
+// Guards against a server that stays unknown after a restore: its revision of
+// the epoch before was kept, and the rewritten entry with a lower number was
+// dropped as old.
+TEST_CASE("A server that a backup lacks is known again once it rewrites") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   daemon.Feed(StoreEpochObserved{.epoch = 1});
@@ -391,7 +399,7 @@
       {.id = "app0", .revision = {.epoch = 2, .number = 3}, .certain = false}};
   non_poller.Relay(relay);
   REQUIRE(daemon.state().backends.at("app0").gone_at.has_value());
-  // The others are proved to be as they were.
+  // The other entries are confirmed to be unchanged.
   non_poller.ReceiveSnapshots();
   daemon.AdvanceTime(milliseconds(100));
   StoreRelay confirmation = non_poller.Confirmation();
--- a/serving/test/store_relay_drawn_test.cc
+++ b/serving/test/store_relay_drawn_test.cc
@@ -1,7 +1,7 @@
-// What daemons know of the platform's store is never taken for newer than it
-// is, whatever becomes of calls, relays and daemons; and one that nothing
-// happens to but that the store's answers crawl serves by nothing older than
-// news may take.
+// Property-based test: a daemon never takes the store state that it knows for
+// newer than it is, whatever happens to calls, relays and daemons. A daemon
+// without a fault of its own, even with slow store responses, serves by no
+// state that is older than the propagation limit allows.
 
 #include <catch2/catch.hpp>
 #include <cstdlib>
@@ -14,11 +14,12 @@
 using test::HoldsUnderSteps;
 using test::RelayFleet;
 
-TEST_CASE("Nothing is taken for proved that is not, under drawn failures") {
-  // Without other wishes every run draws the same sequences.
+TEST_CASE("Nothing counts as confirmed that isn't, under random failures") {
+  // The fixed seed makes every run use the same sequences, unless RC_PARAMS is
+  // set.
   setenv("RC_PARAMS", "seed=20261202 max_success=600 max_size=120",
          /*overwrite=*/0);
-  CHECK(HoldsUnderSteps("relays tell no more than is known",
+  CHECK(HoldsUnderSteps("relays confirm no more than is known",
                         RelayFleet::kCopies));
 }
 
--- a/serving/test/store_restores_drawn_test.cc
+++ b/serving/test/store_restores_drawn_test.cc
@@ -1,5 +1,6 @@
-// What a store that is restored from a copy has lost is neither forgotten nor
-// gone by, whatever becomes of calls, relays and daemons.
+// Property-based test: what a store that was restored from a backup has lost
+// stays in force, and no daemon serves by the backup's older state, whatever
+// happens to calls, relays and daemons.
 
 #include <catch2/catch.hpp>
 #include <cstdlib>
@@ -13,18 +14,19 @@
 using test::HoldsUnderSteps;
 using test::RelayFleet;
 
-// Copies and restores among them: revisions are given out again, answers and
-// relays of the lost history come late, daemons start and are cut off
-// meanwhile.
-TEST_CASE("Nothing that a restored store lost is forgotten or gone by") {
+// The steps include backups and restores: revision numbers are assigned again,
+// responses and relays of the lost history arrive late, and daemons start and
+// are cut off meanwhile.
+TEST_CASE("What a restored store lost stays in force under random failures") {
   setenv("RC_PARAMS", "seed=20261202 max_success=200 max_size=60",
          /*overwrite=*/0);
   CHECK(HoldsUnderSteps("what was accepted stays in force",
                         RelayFleet::kKillsAll + 1));
 }
 
-// The daemons that started took the copy for proof.
-TEST_CASE("A restore that no daemon lived through is known all the same") {
+// Guards against starting daemons that accept the backup as confirmed because
+// no daemon is left that noticed the restore.
+TEST_CASE("A restore that no daemon survived is recognised all the same") {
   constexpr int kConfigures = 0;
   constexpr int kAdvancesTime = 12;
   RelayFleet fleet;
