--- a/serving/src/store_eras.cc
+++ b/serving/src/store_eras.cc
@@ -47,8 +47,8 @@
   return IsNewer(wanted, StampOf(state)) ? wanted : StampOf(state);
 }
 
-// Returns whether enough other daemons have been heard, or waited for, to know
-// of a restore that one of them noticed.
+// Returns whether this daemon has snapshots of enough other daemons, or has
+// waited long enough for them, to know of a restore that one of them noticed.
 bool HasHeardFromPeers(const State& state) {
   // A store that reports no epoch is not known to have been restored.
   if (state.store.epoch.number == 0 || !IsStarting(state)) return true;
--- a/serving/test/relay_fleet.h
+++ b/serving/test/relay_fleet.h
@@ -164,6 +164,7 @@
     }
   }
 
+  // A simulated daemon with its faults and what it has observed.
   struct Node {
     std::unique_ptr<State> state;
     std::deque<EventBody> waiting;  // received while it hangs
@@ -176,6 +177,7 @@
     StoreRevision watched;  // the store's revision that a watch last reported
     ConfigurationStamp highest;
   };
+  // An event in transit to a daemon.
   struct Message {
     Time due{};
     std::size_t to = 0;
