--- a/serving/include/scaleshed/serving/quarantine.h
+++ b/serving/include/scaleshed/serving/quarantine.h
@@ -14,34 +14,39 @@
 
 namespace scaleshed::serving {
 
-// The lives that the store holds for a content, or is to hold; none: no entry.
+// The crashes of one request fingerprint as the store holds them or is to hold
+// them: the backend incarnations that crashed while they ran such a request. An
+// empty list stands for "no entry in the store".
 struct StoredCrashes {
   std::uint64_t fingerprint = 0;
   std::vector<BackendId> incarnations;
-  // At which the store came to hold that. To be written: only if the entry
-  // still has that one; none: only if there is no entry.
+  // Revision at which the store came to hold this list. A write succeeds only
+  // if the entry still has this revision, or, for revision zero, only if there
+  // is no entry.
   StoreRevision revision;
   bool operator==(const StoredCrashes&) const = default;
 };
 
-// What ended under which content, as far as one daemon knows, so that a request
-// that ends the servers that run it is sent to no more of them.
+// Counts, for each request fingerprint, the backend incarnations that crashed
+// while they ran such a request, as far as one daemon knows, so that a poison
+// request is refused once it has crashed kQuarantineCrashCount servers.
 //
-// What is told may come in any order, late and twice: a life is added once, and
-// one that is forgiven stays so. The store keeps what has to outlast all
-// daemons; whoever finds that it knows other than the store holds may write.
-// There is no end in time: a request that ends a server a day is held too. Of
-// more than kMostContents those with the fewest ends, then the oldest, are
-// forgiven.
+// Crashes that are published by other daemons may arrive in any order, late and
+// more than once: an incarnation counts once, and a cleared one stays cleared.
+// The store keeps what has to outlive all daemons; any daemon that knows
+// something else than the store holds may write it (Unsaved). Crashes don't
+// expire: a request that crashes one server a day is quarantined too. Beyond
+// kMaxFingerprints fingerprints, the one with the fewest crashes, and of
+// several such the one whose last change is the oldest, is cleared.
 class Quarantine {
  public:
-  // Ends from which on a content is held.
+  // Number of crashes from which a fingerprint is quarantined.
   static constexpr std::size_t kQuarantineCrashCount = 3;
   static constexpr std::size_t kMaxFingerprints = 4096;
 
-  // False where it was known.
+  // Adds one crash, or clears one. Returns false if it was known already.
   bool AddCrash(const Crash& ending, Time now);
-  // All that is known to have ended under it.
+  // Clears all crashes that are known of the fingerprint.
   void ClearFingerprint(std::uint64_t content, Time now);
 
   std::size_t CrashCount(std::uint64_t content) const;
@@ -49,52 +54,70 @@
     return CrashCount(content) >= kQuarantineCrashCount;
   }
   bool empty() const { return records_.empty(); }
-  // Contents with any end that counts.
+  // Number of fingerprints with at least one crash that isn't cleared.
   std::size_t size() const;
   std::size_t quarantined_count() const;
 
-  // What the others are to be told: news of the last seconds, the newest last;
-  // `latest`: only what they may not have been told often enough yet.
+  // Crashes to publish to the other daemons: those learned in the last seconds,
+  // the newest last. With `latest`, only those so new that they may not have
+  // been published often enough yet.
   std::vector<Crash> RecentCrashes(Time now, bool latest = false);
 
-  // The store held that at its revision. False where that is known or older.
-  // What it lacks was taken away by somebody who knew better, unless it was
-  // restored since: then it has forgotten.
+  // Applies what the store held at `stored.revision`. Returns false if that is
+  // already known or older than what is known. Crashes that the store held
+  // before and now lacks were cleared by another daemon or an operator and are
+  // cleared here, unless the store was restored from a backup since: then it
+  // may only have lost them.
   bool ApplyStored(const StoredCrashes& stored, Time now);
-  // The store is known to hold in that era what it is known to hold.
+  // Carries what the store is known to hold over to the store epoch `era`, in
+  // which it holds the same.
   void AdoptEpoch(std::uint64_t era);
-  // Contents for which it holds anything.
+  // Fingerprints for which the store holds any crash.
   std::vector<std::uint64_t> StoredFingerprints() const;
-  // Of all that the store is known to hold.
+  // Hash over all crashes that the store is known to hold.
   std::uint64_t digest() const { return digest_; }
-  // What the store is to hold and doesn't, the oldest first; since when at the
-  // earliest. Contents with fewer ends than `least` are only to be taken away.
+  // What the store is to hold and doesn't, at most `most` fingerprints, the
+  // longest unsaved first. Fingerprints with fewer crashes than `least` are
+  // included only if the store holds an entry of them, which is to be updated
+  // or removed.
   std::vector<StoredCrashes> Unsaved(std::size_t most,
                                      std::size_t least = 1) const;
+  // Since when the oldest of what Unsaved() returns for `least` is unsaved;
+  // Time::max() if there is none.
   Time UnsavedSince(std::size_t least) const;
   bool has_unsaved() const { return !unsaved_.empty(); }
 
  private:
+  // A crashed backend incarnation, and when this daemon last learned of it.
   struct IncarnationRecord {
     bool cleared = false;
     Time learned_at{};
   };
+  // All that is known of one fingerprint, here and at the store.
   struct Record {
     std::map<BackendId, IncarnationRecord> incarnations;
     std::set<BackendId> stored;
-    StoreRevision revision;  // of the store, at which it held these
-    Time learned_at{};       // last
+    StoreRevision revision;  // store revision at which it held `stored`
+    Time learned_at{};       // time of the last change
   };
 
+  // The incarnations of the record that aren't cleared, in ascending order.
   static std::vector<BackendId> CountedIncarnations(const Record& record);
+  // Whether the store has to be changed for the fingerprint at all: it holds an
+  // entry, or at least `least` crashes count.
   bool IsWorthSaving(std::uint64_t content, std::size_t least) const;
+  // Compares the fingerprint's record with what the store holds of it.
   void UpdateUnsaved(std::uint64_t content, Time now);
+  // Clears one fingerprint if there are more than kMaxFingerprints.
   void MakeRoom(Time now);
-  // Those that were forgiven are remembered while news of them may be underway.
+  // Erases cleared records once no other daemon can still be publishing their
+  // crashes: erased earlier, a late message would count them again.
   void DropExpiredCleared(Time now);
 
   std::map<std::uint64_t, Record> records_;
+  // Fingerprints whose store entry is out of date, and since when.
   std::map<std::uint64_t, Time> unsaved_;
+  // Crashes to publish, with the time at which each was learned.
   std::deque<std::pair<Time, Crash>> recent_;
   std::uint64_t digest_ = 0;
 };
--- a/serving/include/scaleshed/serving/repeat_budget.h
+++ b/serving/include/scaleshed/serving/repeat_budget.h
@@ -8,41 +8,43 @@
 
 namespace scaleshed::serving {
 
+// Bound on the retries of the whole fleet to one service within any window:
+// `ratio` for each request, and `slack` besides.
 struct RetryBudgetOptions {
-  double ratio = 0.2;             // repeats for each request, over the fleet
-  double slack = 0;               // repeats besides, over the fleet
-  Duration window = seconds(10);  // sliding
+  double ratio = 0.2;             // retries per request, over the fleet
+  double slack = 0;               // retries besides the ratio, over the fleet
+  Duration window = seconds(10);  // length of the sliding window
 };
 
-// What one daemon has counted of a service within the window that ends now, and
-// how many repeats it may have made by that.
+// What one daemon has counted for a service within the window that ends now,
+// and how many retries it may send within that window.
 struct RetryUsage {
   std::size_t requests = 0;
-  std::size_t retries = 0;   // that were sent
-  std::size_t reserved = 0;  // that are allowed and wait to be sent
-  double available = 0;
+  std::size_t retries = 0;   // retries that were sent
+  std::size_t reserved = 0;  // retries that are allowed and wait to be sent
+  double available = 0;      // retries that the window allows in all
 };
 
-// Bounds the sends of one daemon to one service that are not the first of their
-// request: to half of the ratio of its own requests and to its part of the
-// slack, so that the sum over all daemons and their lives keeps to both,
-// whoever is killed and wherever callers move. A repeat is planned when it is
-// decided and counts in the window when it leaves, as it arrives then: it may
-// wait for longer than a window in between. Every window of that length is
-// kept, wherever it begins.
+// Bounds the retries that one daemon sends to one service: to half of the ratio
+// of its own requests plus its share of the slack. The sum over all daemons and
+// their incarnations thus keeps to RetryBudgetOptions even if daemons are
+// killed and clients move to others. A retry is reserved when it is decided on,
+// and counts in the window from when it is sent, since it reaches the service
+// then: it may wait for longer than a window in between. The bound holds for
+// every window of that length, wherever it begins.
 class RetryBudget {
  public:
   explicit RetryBudget(const RetryBudgetOptions& options = {})
       : options_(options) {}
 
   void CountRequest(Time now);
-  // Sets room aside for a repeat. False where there is none. `part`: of the
-  // slack, from nothing to one.
+  // Reserves one retry. Returns false if none is available. `part`: this
+  // daemon's share of the slack, from 0 to 1.
   bool ReserveRetry(Time now, double part);
-  // Takes a planned repeat for sent. False where there is no room for it any
-  // more: it is planned no longer, and must not be sent.
+  // Counts a reserved retry as sent. Returns false if the budget no longer
+  // allows it: the reservation is released, and the retry must not be sent.
   bool CommitRetry(Time now, double part);
-  // A planned repeat that is not sent.
+  // Releases the reservation of a retry that isn't sent.
   void ReleaseRetry() { --reserved_; }
 
   RetryUsage Usage(Time now, double part);
--- a/serving/include/scaleshed/serving/slack_share.h
+++ b/serving/include/scaleshed/serving/slack_share.h
@@ -10,12 +10,12 @@
 
 namespace scaleshed::serving {
 
-// Why a daemon has a part of the slack, or none.
+// Whether a daemon may use its share of the slack, and if not, why.
 enum class ShareState {
-  kHeld,        // an even part
-  kNoEntry,     // the store is not known to hold its entry
-  kTooRecent,   // its entry, or its life, is too young
-  kCountStale,  // how many daemons there are was not told for too long
+  kHeld,        // the daemon may use an even share
+  kNoEntry,     // the store isn't known to hold the daemon's entry
+  kTooRecent,   // the daemon's entry was written too short a time ago
+  kCountStale,  // the store's number of daemons was last known too long ago
 };
 inline constexpr NameTable<ShareState, 4> kShareStateNames{{
     {ShareState::kHeld, "held"},
@@ -24,44 +24,51 @@
     {ShareState::kCountStale, "count_old"},
 }};
 
-// One daemon's part of the slack of repeats that all daemons share, such that
-// the parts that are used within any window are one whole at most. That daemons
-// believe in a number of daemons is not enough: beliefs differ after a start, a
-// kill, a cut, and those who believe in few take more than their part. So a
-// part is held like a lease:
-//   - only while the store holds this daemon's entry, so that whoever uses a
-//     part is counted by all others;
-//   - not before its entry has stood for a window and `count_within`: by then
-//     whatever a life before spent is out of the window, and all others have
-//     shared with this one for a whole window;
-//   - only while the store's number of entries was heard so short a time ago
-//     that no daemon which it lacks uses a part yet;
-//   - by the largest number of the last window and `count_within`: those who
-//     are left take the parts of others only after these are out of the window.
-// Where one of these lacks, the part is nothing, and repeats keep to the ratio.
+// One daemon's share of the retry slack that all daemons divide between them.
+// The shares that are used within any window add up to at most the whole slack.
+// Each daemon's own estimate of the number of daemons isn't enough for that:
+// estimates differ after a start, a kill or a network partition, and a daemon
+// that counts too few would use too large a share. A share is therefore held
+// like a lease:
+//   - only while the store holds this daemon's entry, so that all others count
+//     every daemon that uses a share;
+//   - only after the entry has stood for a window plus the greatest allowed age
+//     of the store's number of daemons (kMaxDaemonCountAge): by then, retries
+//     of an earlier incarnation are out of the window, and all others have
+//     counted this daemon for a whole window;
+//   - only while the store's number of entries is so fresh that no daemon which
+//     it lacks can use a share yet;
+//   - as one part of the largest number of daemons known within the last window
+//     plus that age: the others take over the share of a daemon that is gone
+//     only after its retries are out of the window.
+// If one of these conditions fails, the share is zero, and retries keep to the
+// ratio alone.
 class SlackShare {
  public:
-  // `window`: of the bound on repeats.
+  // `window`: the sliding window of the retry budget.
   explicit SlackShare(Duration window) : window_(window) {}
 
   // The store holds this daemon's entry until `until`. `anew`: the entry was
-  // written, by `now`; else it has stood since it was.
+  // newly written, by `now`; else an entry that stood already was confirmed.
   void OnEntryConfirmed(Time now, Time until, bool anew);
-  // Asked to be taken away, or known to be gone.
+  // The daemon asked the store to remove its entry, or knows that it is gone.
   void OnEntryRemoved() { entry_until_ = Time{}; }
-  // The store may have lost it. Others go by the number of before for a while.
+  // The store may have lost the entry. Other daemons still go by the earlier
+  // number of daemons for a while, so the share ends only when that number may
+  // be too old for them.
   void OnEntryLost(Time now);
-  // `asked`: when the store was asked whose answer it is.
+  // The store's number of daemons arrived. `asked`: when the query was sent
+  // whose answer it is.
   void OnDaemonsCounted(Time asked) {
     counted_at_ = std::max(counted_at_, asked);
   }
-  // The largest number of daemons that is known now, from whatever source.
+  // Records the largest number of daemons that any source gives at `now`.
   void RecordDaemonCount(Time now, std::size_t daemons);
 
   ShareState StateAt(Time now) const;
-  // From nothing to one.
+  // This daemon's share of the slack, from 0 to 1.
   double FractionAt(Time now) const;
-  // What the part is shared among.
+  // The number of daemons that the slack is divided among.
   std::size_t daemons() const;
 
  private:
@@ -69,7 +76,9 @@
   Time entry_since_{};
   Time entry_until_{};
   Time counted_at_{};
-  // Falling numbers, each the largest since the one before it was last known.
+  // Numbers of daemons with the time at which each was last known. They ascend
+  // in time and descend in number: each is the largest number known since the
+  // one before it.
   std::deque<std::pair<Time, std::size_t>> daemon_counts_;
 };
 
