--- a/serving/src/admission.cc
+++ b/serving/src/admission.cc
@@ -11,27 +11,27 @@
 constexpr int kNotFound = 404;
 constexpr int kBadRequest = 400;
 constexpr int kBadGateway = 502;
-constexpr int kUnavailable = 503;
+constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
 // After a refusal that another daemon would not give: clients go there at once.
-constexpr Duration kElsewhere = milliseconds(50);
+constexpr Duration kRetryAfterOtherDaemonServes = milliseconds(50);
 // After one that all daemons would give now.
-constexpr Duration kLater = milliseconds(300);
+constexpr Duration kRetryAfterNoDaemonServes = milliseconds(300);
 // A daemon that has just started has its first configuration and list within
 // some 100 ms (1,500 routes on 20 Mbit/s: 80 to 230 ms). Clients that come
 // before wait for so long: a refusal would cost them one of few tries, and the
 // daemons that they turn to have often just started too.
-constexpr Duration kEarlyWithin = milliseconds(400);
+constexpr Duration kEarlyRequestTimeout = milliseconds(400);
 // More are refused at once: their bodies are kept in memory meanwhile.
-constexpr std::size_t kMostEarly = 256;
+constexpr std::size_t kMaxEarlyRequests = 256;
 // Streams that come so long after the request to stop could not end in time.
-constexpr Duration kTakesStreams = milliseconds(2500);
+constexpr Duration kStreamsAcceptedWhileStopping = milliseconds(2500);
 // A request without a time limit gets its route's; without a route's, this.
-constexpr Duration kDefaultDeadline = seconds(10);
+constexpr Duration kDefaultTimeout = seconds(10);
 
-int StatusOf(Refusal why, bool may_have_run) {
-  switch (why) {
+int StatusOf(Refusal reason, bool may_have_run) {
+  switch (reason) {
     case Refusal::kUnknownRoute:
       return kNotFound;
     case Refusal::kUnknownKey:
@@ -42,106 +42,110 @@
     case Refusal::kUnknown:
       return kBadGateway;
     case Refusal::kTimeLimit:
-      return may_have_run ? kGatewayTimeout : kUnavailable;
+      return may_have_run ? kGatewayTimeout : kServiceUnavailable;
     default:
       // 503 is a promise that nothing ran.
-      return may_have_run ? kBadGateway : kUnavailable;
+      return may_have_run ? kBadGateway : kServiceUnavailable;
   }
 }
 
 // One of the route's services, by their weights.
 std::string PickService(State& state, const Route& route) {
-  std::int64_t all = 0;
-  for (const ServiceShare& it : route.shares) all += it.weight;
-  if (all <= 0) return route.shares.empty() ? "" : route.shares[0].service;
-  auto draw = static_cast<std::int64_t>(state.random() %
-                                        static_cast<std::uint64_t>(all));
+  std::int64_t total_weight = 0;
+  for (const ServiceShare& it : route.shares) total_weight += it.weight;
+  if (total_weight <= 0)
+    return route.shares.empty() ? "" : route.shares[0].service;
+  auto point = static_cast<std::int64_t>(
+      state.random() % static_cast<std::uint64_t>(total_weight));
   for (const ServiceShare& it : route.shares) {
-    draw -= it.weight;
-    if (draw < 0) return it.service;
+    point -= it.weight;
+    if (point < 0) return it.service;
   }
   return route.shares.back().service;
 }
 
-void RefuseAtOnce(State& state, const RequestArrived& event, Refusal why,
-                  Duration retry_after) {
+void RefuseImmediately(State& state, const RequestArrived& event,
+                       Refusal reason, Duration retry_after) {
   Request request{.key = event.key, .metadata = event.metadata};
   request.arrived = state.now;
-  RefuseRequest(state, request, why, retry_after);
+  RefuseRequest(state, request, reason, retry_after);
 }
 
 // The account that the request's key belongs to; nothing if there is none.
 const ClientAccount* AccountOf(const State& state,
-                               const RequestMetadata& facts) {
-  if (facts.keys.size() != 1) return nullptr;
-  return state.configuration->FindAccount(facts.keys.front());
+                               const RequestMetadata& metadata) {
+  if (metadata.keys.size() != 1) return nullptr;
+  return state.configuration->FindAccount(metadata.keys.front());
 }
 
 // When to come back after a refusal that is due to what this daemon knows.
-Duration ElsewhereOrLater(const State& state) {
-  const bool any = std::any_of(
+Duration RetryAfterForStaleState(const State& state) {
+  const bool other_serves = std::any_of(
       state.members.begin(), state.members.end(), [&](const auto& it) {
         return IsLive(state, it.second) && it.second.snapshot.serving;
       });
-  return any ? kElsewhere : kLater;
+  return other_serves ? kRetryAfterOtherDaemonServes
+                      : kRetryAfterNoDaemonServes;
 }
 
 // Refuses what can't be taken whatever the load. True if it did.
-bool RefusedByRule(State& state, const RequestArrived& event,
-                   const Route*& route, const ClientAccount*& account) {
+bool RefuseIfNotServable(State& state, const RequestArrived& event,
+                         const Route*& route, const ClientAccount*& account) {
   if (!state.configuration) {
-    RefuseAtOnce(state, event, Refusal::kNoConfiguration, kLater);
+    RefuseImmediately(state, event, Refusal::kNoConfiguration,
+                      kRetryAfterNoDaemonServes);
     return true;
   }
-  const RequestMetadata& facts = event.metadata;
-  route = state.configuration->FindRoute(facts.host, facts.path);
+  const RequestMetadata& metadata = event.metadata;
+  route = state.configuration->FindRoute(metadata.host, metadata.path);
   const bool fresh = IsFresh(state);
   // What an old configuration knows, or doesn't, may be otherwise in the
   // newest.
   if (!IsConfigurationUsable(state) || (route == nullptr && !fresh)) {
-    RefuseAtOnce(state, event, Refusal::kConfigurationStale,
-                 ElsewhereOrLater(state));
+    RefuseImmediately(state, event, Refusal::kConfigurationStale,
+                      RetryAfterForStaleState(state));
     return true;
   }
   if (route == nullptr) {
-    RefuseAtOnce(state, event, Refusal::kUnknownRoute, Duration::zero());
+    RefuseImmediately(state, event, Refusal::kUnknownRoute, Duration::zero());
     return true;
   }
   // A backend server may have left since.
   if (!AreBackendsUsable(state)) {
-    RefuseAtOnce(state, event, Refusal::kBackendListStale,
-                 ElsewhereOrLater(state));
+    RefuseImmediately(state, event, Refusal::kBackendListStale,
+                      RetryAfterForStaleState(state));
     return true;
   }
-  const bool keyed = !route->is_public &&
-                     !state.configuration->configuration().accounts.empty();
-  if (!keyed) return false;
+  const bool needs_key = !route->is_public &&
+                         !state.configuration->configuration().accounts.empty();
+  if (!needs_key) return false;
   if (!fresh) {
-    RefuseAtOnce(state, event, Refusal::kConfigurationStale,
-                 ElsewhereOrLater(state));
+    RefuseImmediately(state, event, Refusal::kConfigurationStale,
+                      RetryAfterForStaleState(state));
     return true;
   }
-  account = AccountOf(state, facts);
+  account = AccountOf(state, metadata);
   if (account == nullptr) {
-    RefuseAtOnce(state, event, Refusal::kUnknownKey, Duration::zero());
+    RefuseImmediately(state, event, Refusal::kUnknownKey, Duration::zero());
     return true;
   }
   return false;
 }
 
 // Whether this daemon has yet to hear for the first time what is in force.
-bool IsEarly(const State& state) {
+bool AwaitsFirstConfiguration(const State& state) {
   return IsWarmingUp(state) && !state.stop_at &&
          StoreConfirmedAt(state) == Time{};
 }
 
-void Take(State& state, const RequestArrived& event, Time arrived) {
+void AcceptRequest(State& state, const RequestArrived& event, Time arrived) {
   const Route* route = nullptr;
   const ClientAccount* account = nullptr;
-  if (RefusedByRule(state, event, route, account)) return;
+  if (RefuseIfNotServable(state, event, route, account)) return;
   if (state.stop_at && IsStream(route->kind) &&
-      state.now - *state.stop_at > kTakesStreams) {
-    RefuseAtOnce(state, event, Refusal::kStopping, kElsewhere);
+      state.now - *state.stop_at > kStreamsAcceptedWhileStopping) {
+    RefuseImmediately(state, event, Refusal::kStopping,
+                      kRetryAfterOtherDaemonServes);
     return;
   }
   Request request{
@@ -154,12 +158,12 @@
   }
   request.arrived = arrived;
   request.due = arrived + route->objective;
-  Duration limit = event.metadata.deadline;
-  if (limit <= Duration::zero()) limit = kDefaultDeadline;
+  Duration timeout = event.metadata.deadline;
+  if (timeout <= Duration::zero()) timeout = kDefaultTimeout;
   if (route->timeout > Duration::zero()) {
-    limit = std::min(limit, route->timeout);
+    timeout = std::min(timeout, route->timeout);
   }
-  request.deadline = arrived + limit;
+  request.deadline = arrived + timeout;
   request.last_event_id = event.metadata.last_event_id;
   const Service* service = state.configuration->FindService(request.service);
   if (service != nullptr && service->engine) {
@@ -167,27 +171,28 @@
         PrefillTime(*service->engine, event.metadata.prompt_tokens);
   }
   CountRequest(state, request);
-  Request& kept =
+  Request& accepted =
       state.requests.emplace(event.key, std::move(request)).first->second;
-  TryStart(state, kept);
+  TryStart(state, accepted);
 }
 
 }  // namespace
 
 void AdmitRequest(State& state, const RequestArrived& event) {
   state.effects.emplace_back(IncrementCounter{Counter::kRequests});
-  if (IsEarly(state) && state.early_requests.size() < kMostEarly) {
+  if (AwaitsFirstConfiguration(state) &&
+      state.early_requests.size() < kMaxEarlyRequests) {
     state.early_requests.push_back({.request = event, .arrived = state.now});
     return;
   }
-  Take(state, event, state.now);
+  AcceptRequest(state, event, state.now);
 }
 
 void AdmitEarlyRequests(State& state) {
-  const bool early = IsEarly(state);
+  const bool early = AwaitsFirstConfiguration(state);
   while (!state.early_requests.empty()) {
     if (early &&
-        state.now < state.early_requests.front().arrived + kEarlyWithin)
+        state.now < state.early_requests.front().arrived + kEarlyRequestTimeout)
       return;
     const EarlyRequest it = std::move(state.early_requests.front());
     state.early_requests.pop_front();
@@ -195,7 +200,7 @@
         {{"request", it.request.metadata.id},
          {"waited_ms", Millis(state.now - it.arrived)},
          {"known", early ? "false" : "true"}});
-    Take(state, it.request, it.arrived);
+    AcceptRequest(state, it.request, it.arrived);
   }
 }
 
@@ -216,27 +221,27 @@
   EraseRequest(state, event.key);
 }
 
-void RefuseRequest(State& state, Request& request, Refusal why,
+void RefuseRequest(State& state, Request& request, Refusal reason,
                    Duration retry_after) {
   WithdrawPlacement(state, request);
   EndAttempt(state, request, true);
-  const int status = StatusOf(why, request.may_have_run);
+  const int status = StatusOf(reason, request.may_have_run);
   if (request.response_started) {
     state.effects.emplace_back(IncrementCounter{Counter::kAbortedResponses});
     state.effects.emplace_back(AbortResponse{.key = request.key});
   } else {
     state.effects.emplace_back(IncrementCounter{Counter::kRefused});
-    state.effects.emplace_back(Refuse{.key = request.key,
-                                      .reason = why,
-                                      .status = status,
-                                      .retry_after = status == kUnavailable
-                                                         ? retry_after
-                                                         : Duration::zero()});
+    state.effects.emplace_back(Refuse{
+        .key = request.key,
+        .reason = reason,
+        .status = status,
+        .retry_after =
+            status == kServiceUnavailable ? retry_after : Duration::zero()});
   }
   Log(state, request.response_started ? "broken" : "refused",
       {{"request", request.metadata.id},
        {"content", FingerprintText(request.metadata.fingerprint)},
-       {"why", std::string(NameIn(kRefusalNames, why))},
+       {"why", std::string(NameIn(kRefusalNames, reason))},
        {"status", std::to_string(status)},
        {"route", request.route.name},
        {"account", request.account},
@@ -261,10 +266,10 @@
   state.has_unpublished_changes = true;
 }
 
-void Requeue(State& state, Request& request, Duration pause) {
+void Requeue(State& state, Request& request, Duration delay) {
   EndAttempt(state, request, false);
   request.phase = Phase::kWaiting;
-  request.retry_at = state.now + pause;
+  request.retry_at = state.now + delay;
 }
 
 void EraseRequest(State& state, RequestKey key) {
--- a/serving/src/attempts.cc
+++ b/serving/src/attempts.cc
@@ -10,10 +10,10 @@
 // Between two events of a stream, before another backend server is asked to go
 // on: this multiple of the longest pause that keeps it in time, and not less
 // than a dead backend server's requests stand still in the worst case.
-constexpr int kSilentPauses = 5;
-constexpr Duration kLeastSilence = milliseconds(1000);
+constexpr int kMaxEventGapFactor = 5;
+constexpr Duration kMinStallTimeout = milliseconds(1000);
 // The backend server's own word at the deadline is waited for so long.
-constexpr Duration kDeadlineSlack = milliseconds(100);
+constexpr Duration kResponseGracePeriod = milliseconds(100);
 
 Request* RequestOf(State& state, AttemptId attempt) {
   const auto found = state.attempts.find(attempt);
@@ -21,12 +21,12 @@
   return &state.requests.at(found->second);
 }
 
-bool IsPromise(int status) {
+bool StatusMeansNotRun(int status) {
   // Statuses by which clients are told that nothing ran.
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-void Finish(State& state, Request& request) {
+void FinishRequest(State& state, Request& request) {
   Log(state, "answered",
       {{"request", request.metadata.id},
        {"route", request.route.name},
@@ -46,14 +46,14 @@
   EraseRequest(state, request.key);
 }
 
-void ObserveFirst(State& state, const Request& request) {
+void ObserveFirstResponse(State& state, const Request& request) {
   state.effects.emplace_back(
       ObserveLatency{.account = request.account,
                      .route = request.route.name,
                      .elapsed = state.now - request.arrived});
 }
 
-void SendAgain(State& state, Request& request) {
+void RetryNow(State& state, Request& request) {
   request.excluded.insert(request.backend);
   EndAttempt(state, request, true);
   request.phase = Phase::kWaiting;
@@ -64,51 +64,52 @@
 }
 
 // The send may have run and brought no whole answer.
-void Lost(State& state, Request& request, const std::string& why) {
+void HandleLostAttempt(State& state, Request& request,
+                       const std::string& reason) {
   request.may_have_run = true;
   CheckLiveness(state, request, request.backend);
   for (const BackendId it : request.active_request.helpers)
     CheckLiveness(state, request, it);
-  const RetryDenial forbids = ReserveRerun(state, request);
+  const RetryDenial denial = ReserveRerun(state, request);
   Log(state, "lost",
       {{"request", request.metadata.id},
        {"attempt", std::to_string(request.attempt)},
        {"content", FingerprintText(request.metadata.fingerprint)},
        {"backend", request.backend_name},
-       {"why", why},
+       {"why", reason},
        {"begun", request.response_started ? "true" : "false"},
        {"last_event", request.last_event_id},
-       {"no_repeat_for", std::string(NameIn(kRetryDenialNames, forbids))}});
-  if (forbids == RetryDenial::kNothing) {
-    SendAgain(state, request);
+       {"no_repeat_for", std::string(NameIn(kRetryDenialNames, denial))}});
+  if (denial == RetryDenial::kNothing) {
+    RetryNow(state, request);
     return;
   }
   RefuseRequest(state, request, Refusal::kUnknown, {});
 }
 
 // The send did not run.
-void Declined(State& state, Request& request) {
+void HandleDeclinedAttempt(State& state, Request& request) {
   --request.possible_runs;
   ++request.declined_sends;
   if (ReserveRetry(state, request) == RetryDenial::kNothing) {
-    SendAgain(state, request);
+    RetryNow(state, request);
     return;
   }
   RefuseRequest(state, request, Refusal::kNotRun, kRetryAfterDeclined);
 }
 
-void OnFailureAnswer(State& state, Request& request,
-                     const AttemptAnswered& event) {
+void OnFailureResponse(State& state, Request& request,
+                       const AttemptAnswered& event) {
   RecordFailedResponse(state, request.backend);
   request.may_have_run = true;
   constexpr int kFirstServerError = 500;
-  const bool again = event.status >= kFirstServerError &&
-                     ReserveRerun(state, request) == RetryDenial::kNothing;
-  if (again) {
-    SendAgain(state, request);
+  const bool may_retry = event.status >= kFirstServerError &&
+                         ReserveRerun(state, request) == RetryDenial::kNothing;
+  if (may_retry) {
+    RetryNow(state, request);
     return;
   }
-  if (IsPromise(event.status)) {
+  if (StatusMeansNotRun(event.status)) {
     // The backend server does not say that it did not run it, and this status
     // would.
     RefuseRequest(state, request, Refusal::kUnknown, {});
@@ -121,14 +122,14 @@
        {"status", std::to_string(event.status)},
        {"backend", request.backend_name},
        {"runs", std::to_string(request.possible_runs)}});
-  Finish(state, request);
+  FinishRequest(state, request);
 }
 
 void OnSuccess(State& state, Request& request, const AttemptAnswered& event) {
   ClearAfterSuccess(state, request);
   RecordSuccess(state, request.backend);
   if (!IsStream(request.route.kind)) {
-    ObserveFirst(state, request);
+    ObserveFirstResponse(state, request);
     state.effects.emplace_back(
         DeliverAnswer{.key = request.key, .attempt = event.attempt});
   } else {
@@ -138,11 +139,11 @@
     }
     state.effects.emplace_back(EndStream{.key = request.key});
   }
-  Finish(state, request);
+  FinishRequest(state, request);
 }
 
-void NoteAtFault(State& state, const Request& request,
-                 const std::string& address) {
+void RecordRefusingAddress(State& state, const Request& request,
+                           const std::string& address) {
   for (auto& [name, backend] : state.backends) {
     if (backend.server.address == address) {
       CheckLiveness(state, request, backend.id);
@@ -166,7 +167,7 @@
   }
   if (!request->response_started) {
     request->response_started = true;
-    ObserveFirst(state, *request);
+    ObserveFirstResponse(state, *request);
     state.effects.emplace_back(
         BeginStream{.key = request->key, .attempt = event.attempt});
   }
@@ -181,8 +182,8 @@
   state.effects.emplace_back(
       ForwardEvent{.key = request->key, .bytes = event.bytes});
   request->progress_deadline =
-      state.now +
-      std::max(kSilentPauses * request->route.max_event_gap, kLeastSilence);
+      state.now + std::max(kMaxEventGapFactor * request->route.max_event_gap,
+                           kMinStallTimeout);
 }
 
 void OnAnswered(State& state, const AttemptAnswered& event) {
@@ -194,13 +195,13 @@
       OnSuccess(state, *request, event);
       return;
     case AnswerKind::kFailure:
-      OnFailureAnswer(state, *request, event);
+      OnFailureResponse(state, *request, event);
       return;
     case AnswerKind::kReplaced:
       RecordBackendGone(state, request->backend, "address_taken");
       break;
     case AnswerKind::kNotRun:
-      NoteAtFault(state, *request, event.refusing_address);
+      RecordRefusingAddress(state, *request, event.refusing_address);
       break;
   }
   Log(state, "declined",
@@ -210,7 +211,7 @@
        {"status", std::to_string(event.status)},
        {"kind", std::string(NameIn(kAnswerKindNames, event.kind))},
        {"at_fault", event.refusing_address}});
-  Declined(state, *request);
+  HandleDeclinedAttempt(state, *request);
 }
 
 void OnFailed(State& state, const AttemptFailed& event) {
@@ -222,15 +223,15 @@
         {{"request", request->metadata.id},
          {"backend", request->backend_name},
          {"why", event.detail}});
-    Declined(state, *request);
+    HandleDeclinedAttempt(state, *request);
     return;
   }
   ++request->delivered_sends;
-  Lost(state, *request, event.detail);
+  HandleLostAttempt(state, *request, event.detail);
 }
 
-void FailAttemptsAt(State& state, BackendId life) {
-  EndIncarnation(state, life);
+void FailAttemptsAt(State& state, BackendId incarnation) {
+  EndIncarnation(state, incarnation);
   // News of the new life may have taken so long: what was sent since may be in
   // work there.
   const Time sent_before = state.now - state.options.propagation_limit;
@@ -239,21 +240,23 @@
     const auto& helpers = request.active_request.helpers;
     for (std::size_t i = 0; i < request.memory_reservations.size(); ++i) {
       // Renewed, it would be set aside anew at one who knows nothing of it.
-      if (helpers[i] == life)
+      if (helpers[i] == incarnation)
         request.memory_reservations[i].reservation_id.clear();
     }
-    const bool helps =
-        std::find(helpers.begin(), helpers.end(), life) != helpers.end();
-    const bool here = request.attempt != 0 && request.backend == life;
-    if (request.phase == Phase::kReserving && (here || helps)) {
+    const bool is_helper =
+        std::find(helpers.begin(), helpers.end(), incarnation) != helpers.end();
+    const bool is_assigned =
+        request.attempt != 0 && request.backend == incarnation;
+    if (request.phase == Phase::kReserving && (is_assigned || is_helper)) {
       lost.push_back(key);
       continue;
     }
     // One that may not be repeated is left to its connection: taken for lost by
     // mistake it would be cut off at work, and nothing is won.
-    const bool again = MayRunAgain(request.route.kind) &&
-                       request.backend_alive_at < sent_before;
-    if (request.phase == Phase::kRunning && here && again) lost.push_back(key);
+    const bool may_retry = MayRunAgain(request.route.kind) &&
+                           request.backend_alive_at < sent_before;
+    if (request.phase == Phase::kRunning && is_assigned && may_retry)
+      lost.push_back(key);
   }
   for (const RequestKey key : lost) {
     Request& request = state.requests.at(key);
@@ -262,7 +265,7 @@
       continue;
     }
     ++request.delivered_sends;
-    Lost(state, request, "started_again");
+    HandleLostAttempt(state, request, "started_again");
   }
 }
 
@@ -274,8 +277,8 @@
     if (it == state.requests.end()) continue;
     Request& request = it->second;
     const bool running = request.phase == Phase::kRunning;
-    const Duration slack = running ? kDeadlineSlack : Duration::zero();
-    if (state.now >= request.deadline + slack) {
+    const Duration grace = running ? kResponseGracePeriod : Duration::zero();
+    if (state.now >= request.deadline + grace) {
       request.may_have_run = request.may_have_run || running;
       RefuseRequest(state, request, Refusal::kTimeLimit, kRetryAfterDeclined);
       continue;
@@ -290,7 +293,7 @@
         state.now >= request.progress_deadline) {
       ++request.delivered_sends;
       RecordFailure(state, request.backend, "silent");
-      Lost(state, request, "silent");
+      HandleLostAttempt(state, request, "silent");
     }
   }
 }
--- a/serving/src/endings.cc
+++ b/serving/src/endings.cc
@@ -15,40 +15,41 @@
 // A request under which a server ended before waits for so long to learn
 // whether this one has ended too, which takes 50 to 70 ms; others are sent on
 // at once.
-constexpr Duration kVerdictWithin = milliseconds(200);
+constexpr Duration kCrashCheckTimeout = milliseconds(200);
 // A server that lives says so within some milliseconds: most answers that break
 // off are of such, and nothing is held against the request then.
-constexpr Duration kSignWithin = milliseconds(15);
+constexpr Duration kLivenessSignalTimeout = milliseconds(15);
 
-void LogEnding(State& state, std::uint64_t content, BackendId life,
-               const std::string& from) {
-  const Backend* backend = FindBackend(state, life);
-  const std::size_t n = state.quarantine.CrashCount(content);
+void LogCrash(State& state, std::uint64_t fingerprint, BackendId incarnation,
+              const std::string& source) {
+  const Backend* backend = FindBackend(state, incarnation);
+  const std::size_t n = state.quarantine.CrashCount(fingerprint);
   Log(state, "ended_under",
-      {{"content", FingerprintText(content)},
+      {{"content", FingerprintText(fingerprint)},
        {"backend", backend == nullptr ? "" : backend->server.id},
-       {"life", FingerprintText(life)},
-       {"told_by", from},
+       {"life", FingerprintText(incarnation)},
+       {"told_by", source},
        {"ends", std::to_string(n)},
-       {"held", state.quarantine.IsQuarantined(content) ? "true" : "false"}});
+       {"held",
+        state.quarantine.IsQuarantined(fingerprint) ? "true" : "false"}});
 }
 
-void TakeEnding(State& state, const Crash& ending, const std::string& from) {
-  if (!state.quarantine.AddCrash(ending, state.now)) return;
+void ApplyCrash(State& state, const Crash& crash, const std::string& source) {
+  if (!state.quarantine.AddCrash(crash, state.now)) return;
   state.has_unpublished_changes = true;
   // Of many daemons the others hear it of the hubs.
   state.has_unpublished_crashes =
-      state.has_unpublished_crashes || from.empty() ||
+      state.has_unpublished_crashes || source.empty() ||
       (state.dispatch.is_hub && !state.dispatch.place_locally);
-  if (ending.cleared) {
+  if (crash.cleared) {
     Log(state, "forgiven",
-        {{"content", FingerprintText(ending.fingerprint)},
-         {"life", FingerprintText(ending.incarnation)},
-         {"told_by", from}});
+        {{"content", FingerprintText(crash.fingerprint)},
+         {"life", FingerprintText(crash.incarnation)},
+         {"told_by", source}});
     return;
   }
   state.effects.emplace_back(IncrementCounter{Counter::kCrashes});
-  LogEnding(state, ending.fingerprint, ending.incarnation, from);
+  LogCrash(state, crash.fingerprint, crash.incarnation, source);
 }
 
 // What is known of a backend server for a request that has to go alone, or to
@@ -56,28 +57,29 @@
 struct Candidate {
   const Backend* backend = nullptr;
   std::uint64_t rank = 0;  // the same at all daemons
-  std::int64_t works = 0;
-  std::int64_t alike = 0;  // of these, copies
+  std::int64_t active_requests = 0;
+  std::int64_t same_fingerprint = 0;  // of these, copies
   bool avoided = false;
 };
 
-std::vector<Candidate> CandidatesFor(
+std::vector<Candidate> FindCandidates(
     const State& state, const PlacementDemand& demand,
     const std::vector<const Backend*>& open,
-    const std::vector<const ActiveRequest*>& works) {
-  const auto suspects = SuspectedBackends(state);
+    const std::vector<const ActiveRequest*>& active_requests) {
+  const auto suspected = SuspectedBackends(state);
   std::map<BackendId, Candidate> by_id;
   for (const Backend* it : open) {
     by_id[it->id] = {.backend = it,
                      .rank = HashBytes(it->server.id, demand.fingerprint),
-                     .avoided = suspects.contains(it->id) ||
+                     .avoided = suspected.contains(it->id) ||
                                 demand.excluded.contains(it->id)};
   }
-  for (const ActiveRequest* work : works) {
-    const auto it = by_id.find(work->backend);
+  for (const ActiveRequest* request : active_requests) {
+    const auto it = by_id.find(request->backend);
     if (it == by_id.end()) continue;
-    ++it->second.works;
-    if (work->fingerprint == demand.fingerprint) ++it->second.alike;
+    ++it->second.active_requests;
+    if (request->fingerprint == demand.fingerprint)
+      ++it->second.same_fingerprint;
   }
   std::vector<Candidate> all;
   all.reserve(by_id.size());
@@ -87,58 +89,61 @@
   return all;
 }
 
-bool HasPlace(const Candidate& it) {
-  return !it.avoided && it.works < it.backend->server.slots;
+bool HasFreeSlot(const Candidate& it) {
+  return !it.avoided && it.active_requests < it.backend->server.slots;
 }
 
 // Whether another daemon asks right now if one more has ended under it.
-bool IsAskedElsewhere(const State& state, std::uint64_t content) {
+bool IsCheckedByPeer(const State& state, std::uint64_t fingerprint) {
   return std::any_of(
       state.members.begin(), state.members.end(), [&](const auto& it) {
         const Member& member = it.second;
-        const auto& asked = member.snapshot.crash_checks;
-        return state.now < member.received_at + kVerdictWithin &&
-               std::find(asked.begin(), asked.end(), content) != asked.end();
+        const auto& crash_checks = member.snapshot.crash_checks;
+        return state.now < member.received_at + kCrashCheckTimeout &&
+               std::find(crash_checks.begin(), crash_checks.end(),
+                         fingerprint) != crash_checks.end();
       });
 }
 
 // Of how many attempts that broke off this daemon asks right now if servers
 // ended under them.
-std::size_t AskedHere(const State& state, std::uint64_t content) {
+std::size_t CountLocalChecks(const State& state, std::uint64_t fingerprint) {
   std::set<AttemptId> attempts;
-  for (const auto& [life, check] : state.liveness_checks) {
-    const auto it = check.attempts_by_fingerprint.find(content);
-    const bool asks = it != check.attempts_by_fingerprint.end() &&
-                      state.now < check.since + kVerdictWithin;
-    if (asks) attempts.insert(it->second);
+  for (const auto& [incarnation, check] : state.liveness_checks) {
+    const auto it = check.attempts_by_fingerprint.find(fingerprint);
+    const bool is_open = it != check.attempts_by_fingerprint.end() &&
+                         state.now < check.since + kCrashCheckTimeout;
+    if (is_open) attempts.insert(it->second);
   }
   return attempts.size();
 }
 
 }  // namespace
 
-void RecordCrash(State& state, std::uint64_t content, BackendId life) {
-  if (content == 0) return;
-  TakeEnding(state, {.fingerprint = content, .incarnation = life}, "");
+void RecordCrash(State& state, std::uint64_t fingerprint,
+                 BackendId incarnation) {
+  if (fingerprint == 0) return;
+  ApplyCrash(state, {.fingerprint = fingerprint, .incarnation = incarnation},
+             "");
 }
 
 void ClearAfterSuccess(State& state, const Request& request) {
-  const std::uint64_t content = request.metadata.fingerprint;
-  for (auto& [life, check] : state.liveness_checks)
-    check.attempts_by_fingerprint.erase(content);
-  if (state.quarantine.CrashCount(content) == 0) return;
-  state.quarantine.ClearFingerprint(content, state.now);
+  const std::uint64_t fingerprint = request.metadata.fingerprint;
+  for (auto& [incarnation, check] : state.liveness_checks)
+    check.attempts_by_fingerprint.erase(fingerprint);
+  if (state.quarantine.CrashCount(fingerprint) == 0) return;
+  state.quarantine.ClearFingerprint(fingerprint, state.now);
   state.has_unpublished_changes = true;
   state.has_unpublished_crashes = true;
   Log(state, "acquitted",
       {{"request", request.metadata.id},
-       {"content", FingerprintText(content)},
+       {"content", FingerprintText(fingerprint)},
        {"backend", request.backend_name}});
 }
 
-void ApplyCrashes(State& state, const std::vector<Crash>& endings) {
-  for (const Crash& it : endings) {
-    TakeEnding(state, it, "peer");
+void ApplyCrashes(State& state, const std::vector<Crash>& crashes) {
+  for (const Crash& it : crashes) {
+    ApplyCrash(state, it, "peer");
     if (!it.cleared) EndIncarnation(state, it.incarnation);
   }
 }
@@ -151,39 +156,42 @@
   return true;
 }
 
-bool AwaitsCrashCheck(const State& state, std::uint64_t content) {
-  if (content == 0) return false;
-  const std::size_t asked =
-      AskedHere(state, content) + (IsAskedElsewhere(state, content) ? 1 : 0);
-  constexpr std::size_t kSentOn = 1;
-  return asked > 0 && state.quarantine.CrashCount(content) + asked > kSentOn;
+bool AwaitsCrashCheck(const State& state, std::uint64_t fingerprint) {
+  if (fingerprint == 0) return false;
+  const std::size_t checks = CountLocalChecks(state, fingerprint) +
+                             (IsCheckedByPeer(state, fingerprint) ? 1 : 0);
+  constexpr std::size_t kMaxCrashesWhileSending = 1;
+  return checks > 0 && state.quarantine.CrashCount(fingerprint) + checks >
+                           kMaxCrashesWhileSending;
 }
 
-bool AwaitsLivenessSignal(const State& state, std::uint64_t content) {
-  if (content == 0) return false;
-  return std::any_of(state.liveness_checks.begin(), state.liveness_checks.end(),
-                     [&](const auto& it) {
-                       const LivenessCheck& check = it.second;
-                       return state.now < check.since + kSignWithin &&
-                              check.attempts_by_fingerprint.contains(content);
-                     });
+bool AwaitsLivenessSignal(const State& state, std::uint64_t fingerprint) {
+  if (fingerprint == 0) return false;
+  return std::any_of(
+      state.liveness_checks.begin(), state.liveness_checks.end(),
+      [&](const auto& it) {
+        const LivenessCheck& check = it.second;
+        return state.now < check.since + kLivenessSignalTimeout &&
+               check.attempts_by_fingerprint.contains(fingerprint);
+      });
 }
 
-bool IsCrashSuspected(const State& state, std::uint64_t content) {
-  if (content == 0) return false;
-  return state.quarantine.CrashCount(content) > 0 ||
-         AskedHere(state, content) > 0 || IsAskedElsewhere(state, content);
+bool IsCrashSuspected(const State& state, std::uint64_t fingerprint) {
+  if (fingerprint == 0) return false;
+  return state.quarantine.CrashCount(fingerprint) > 0 ||
+         CountLocalChecks(state, fingerprint) > 0 ||
+         IsCheckedByPeer(state, fingerprint);
 }
 
 std::vector<std::uint64_t> FingerprintsUnderCheck(const State& state) {
-  std::set<std::uint64_t> contents;
-  for (const auto& [life, check] : state.liveness_checks) {
-    if (state.now >= check.since + kVerdictWithin) continue;
-    for (const auto& [content, attempt] : check.attempts_by_fingerprint) {
-      contents.insert(content);
+  std::set<std::uint64_t> fingerprints;
+  for (const auto& [incarnation, check] : state.liveness_checks) {
+    if (state.now >= check.since + kCrashCheckTimeout) continue;
+    for (const auto& [fingerprint, attempt] : check.attempts_by_fingerprint) {
+      fingerprints.insert(fingerprint);
     }
   }
-  return {contents.begin(), contents.end()};
+  return {fingerprints.begin(), fingerprints.end()};
 }
 
 // Copies that come together at several daemons are not to end a server each:
@@ -197,47 +205,50 @@
 Isolation FindIsolation(const State& state, const PlacementDemand& demand,
                         const std::vector<const Backend*>& open) {
   if (demand.fingerprint == 0) return {};
-  const std::size_t ends = state.quarantine.CrashCount(demand.fingerprint);
-  const bool asked =
+  const std::size_t crashes = state.quarantine.CrashCount(demand.fingerprint);
+  const bool suspected =
       demand.crash_suspected || IsCrashSuspected(state, demand.fingerprint);
   const bool is_long = demand.prefill_time > kShortPromptPrefillLimit;
-  const bool plain = demand.prefill_time == Duration::zero();
+  const bool is_plain = demand.prefill_time == Duration::zero();
   // Two long ones at one engine would be late for nothing.
-  if (!asked && (is_long || plain)) return {};
-  const auto works = AllActiveRequests(state);
-  const bool any_alike =
-      std::any_of(works.begin(), works.end(), [&](const ActiveRequest* it) {
-        return it->fingerprint == demand.fingerprint;
-      });
-  constexpr std::size_t kProbable = 2;
-  const bool one_at_a_time = is_long && ends < kProbable;
-  if (one_at_a_time) return {.wait = any_alike};
-  auto all = CandidatesFor(state, demand, open, works);
-  std::erase_if(all, [](const Candidate& it) { return !HasPlace(it); });
-  const auto like = std::find_if(
-      all.begin(), all.end(), [](const Candidate& it) { return it.alike > 0; });
-  if (like != all.end())
-    return {.backend = like->backend, .crash_suspected = asked};
-  if (!asked) return {};
-  if (any_alike) return {.wait = true};
+  if (!suspected && (is_long || is_plain)) return {};
+  const auto active_requests = AllActiveRequests(state);
+  const bool any_same_fingerprint =
+      std::any_of(active_requests.begin(), active_requests.end(),
+                  [&](const ActiveRequest* it) {
+                    return it->fingerprint == demand.fingerprint;
+                  });
+  constexpr std::size_t kProbableCauseCrashCount = 2;
+  const bool one_at_a_time = is_long && crashes < kProbableCauseCrashCount;
+  if (one_at_a_time) return {.wait = any_same_fingerprint};
+  auto all = FindCandidates(state, demand, open, active_requests);
+  std::erase_if(all, [](const Candidate& it) { return !HasFreeSlot(it); });
+  const auto running_same =
+      std::find_if(all.begin(), all.end(),
+                   [](const Candidate& it) { return it.same_fingerprint > 0; });
+  if (running_same != all.end())
+    return {.backend = running_same->backend, .crash_suspected = suspected};
+  if (!suspected) return {};
+  if (any_same_fingerprint) return {.wait = true};
   const auto best = std::min_element(
       all.begin(), all.end(), [](const Candidate& a, const Candidate& b) {
-        return std::pair(a.works, a.rank) < std::pair(b.works, b.rank);
+        return std::pair(a.active_requests, a.rank) <
+               std::pair(b.active_requests, b.rank);
       });
   if (best == all.end()) return {};
   return {.backend = best->backend, .crash_suspected = true};
 }
 
 void RecordIsolation(State& state, const PlacementDemand& demand,
-                     const Isolation& with) {
-  if (!with.crash_suspected) return;
+                     const Isolation& isolation) {
+  if (!isolation.crash_suspected) return;
   state.effects.emplace_back(IncrementCounter{Counter::kCrashSuspected});
   Log(state, "in_doubt",
       {{"request", demand.id},
        {"content", FingerprintText(demand.fingerprint)},
        {"ends",
         std::to_string(state.quarantine.CrashCount(demand.fingerprint))},
-       {"backend", with.backend->server.id},
+       {"backend", isolation.backend->server.id},
        {"prompt", std::to_string(demand.prompt_tokens)},
        {"after_ms", Millis(state.now - demand.arrived)}});
 }
--- a/serving/src/life_checks.cc
+++ b/serving/src/life_checks.cc
@@ -9,26 +9,26 @@
 // spoiled at backend servers that live on. One that has ended refuses each new
 // connection until another life begins, which takes a second and more; one that
 // is full may refuse one now and then.
-constexpr int kRefusals = 2;
-constexpr Duration kRefusedAgain = milliseconds(50);
+constexpr int kRefusalsUntilEnded = 2;
+constexpr Duration kRefusedProbeInterval = milliseconds(50);
 // Where nothing was seen, a packet may have been lost.
-constexpr Duration kNothingAgain = milliseconds(150);
-constexpr Duration kAskFor = seconds(2);
+constexpr Duration kInconclusiveProbeInterval = milliseconds(150);
+constexpr Duration kLivenessCheckTimeout = seconds(2);
 // What it sent before its end may still be on its way so long after.
-constexpr Duration kUnderway = milliseconds(30);
+constexpr Duration kMaxInFlightDelay = milliseconds(30);
 // Sends that were cut by one end are seen to be within moments.
-constexpr Duration kRemember = seconds(20);
+constexpr Duration kEndedIncarnationRetention = seconds(20);
 
-void Ask(State& state, BackendId life, LivenessCheck& check) {
+void SendProbe(State& state, BackendId incarnation, LivenessCheck& check) {
   check.probe_due = Time::max();
-  RecordStart(state, life);
+  RecordStart(state, incarnation);
   state.effects.emplace_back(
-      ProbeLiveness{.backend = life, .address = check.address});
+      ProbeLiveness{.backend = incarnation, .address = check.address});
 }
 
-void LogCheck(State& state, BackendId life, const LivenessCheck& check,
-              const std::string& outcome) {
-  const Backend* backend = FindBackend(state, life);
+void LogLivenessCheck(State& state, BackendId incarnation,
+                      const LivenessCheck& check, const std::string& outcome) {
+  const Backend* backend = FindBackend(state, incarnation);
   Log(state, "life_checked",
       {{"backend", backend == nullptr ? "" : backend->server.id},
        {"address", check.address},
@@ -39,42 +39,48 @@
 
 }  // namespace
 
-void CheckLiveness(State& state, const Request& request, BackendId life) {
-  const std::uint64_t content = request.metadata.fingerprint;
-  if (state.ended_incarnations.contains(life)) {
-    RecordCrash(state, content, life);
+void CheckLiveness(State& state, const Request& request,
+                   BackendId incarnation) {
+  const std::uint64_t fingerprint = request.metadata.fingerprint;
+  if (state.ended_incarnations.contains(incarnation)) {
+    RecordCrash(state, fingerprint, incarnation);
     return;
   }
-  const Backend* backend = FindBackend(state, life);
+  const Backend* backend = FindBackend(state, incarnation);
   if (backend == nullptr) return;
   const auto [it, is_new] = state.liveness_checks.try_emplace(
-      life,
+      incarnation,
       LivenessCheck{.address = backend->server.address, .since = state.now});
-  const bool news = content != 0 && it->second.attempts_by_fingerprint
-                                        .try_emplace(content, request.attempt)
-                                        .second;
-  state.has_unpublished_crashes = state.has_unpublished_crashes || news;
-  state.has_unpublished_changes = state.has_unpublished_changes || news;
-  if (is_new) Ask(state, life, it->second);
+  const bool is_new_fingerprint =
+      fingerprint != 0 && it->second.attempts_by_fingerprint
+                              .try_emplace(fingerprint, request.attempt)
+                              .second;
+  state.has_unpublished_crashes =
+      state.has_unpublished_crashes || is_new_fingerprint;
+  state.has_unpublished_changes =
+      state.has_unpublished_changes || is_new_fingerprint;
+  if (is_new) SendProbe(state, incarnation, it->second);
 }
 
 void OnLivenessProbed(State& state, const LivenessProbed& event) {
   const auto it = state.liveness_checks.find(event.backend);
   if (it == state.liveness_checks.end()) return;
   LivenessCheck& check = it->second;
-  const bool speaks = event.result == ProbeResult::kAlive ||
-                      check.last_alive_at > check.since + kUnderway;
-  const bool refuses = event.result == ProbeResult::kRefused;
-  check.consecutive_refusals = refuses ? check.consecutive_refusals + 1 : 0;
-  const bool over = refuses && check.consecutive_refusals >= kRefusals;
-  const bool given_up = state.now - check.since > kAskFor;
-  if (!speaks && !over && !given_up) {
-    check.probe_due = state.now + (refuses ? kRefusedAgain : kNothingAgain);
+  const bool alive = event.result == ProbeResult::kAlive ||
+                     check.last_alive_at > check.since + kMaxInFlightDelay;
+  const bool refused = event.result == ProbeResult::kRefused;
+  check.consecutive_refusals = refused ? check.consecutive_refusals + 1 : 0;
+  const bool ended =
+      refused && check.consecutive_refusals >= kRefusalsUntilEnded;
+  const bool timed_out = state.now - check.since > kLivenessCheckTimeout;
+  if (!alive && !ended && !timed_out) {
+    check.probe_due = state.now + (refused ? kRefusedProbeInterval
+                                           : kInconclusiveProbeInterval);
     return;
   }
-  LogCheck(state, event.backend, check,
-           speaks ? "lives" : (over ? "over" : "unknown"));
-  if (over && !speaks) {
+  LogLivenessCheck(state, event.backend, check,
+                   alive ? "lives" : (ended ? "over" : "unknown"));
+  if (ended && !alive) {
     EndIncarnation(state, event.backend);
   } else {
     state.liveness_checks.erase(it);
@@ -85,27 +91,27 @@
   StartWaitingRequests(state);
 }
 
-void EndIncarnation(State& state, BackendId life) {
-  state.ended_incarnations[life] = state.now;
-  const auto check = state.liveness_checks.extract(life);
+void EndIncarnation(State& state, BackendId incarnation) {
+  state.ended_incarnations[incarnation] = state.now;
+  const auto check = state.liveness_checks.extract(incarnation);
   if (check.empty()) return;
-  for (const auto& [content, attempt] :
+  for (const auto& [fingerprint, attempt] :
        check.mapped().attempts_by_fingerprint) {
-    RecordCrash(state, content, life);
+    RecordCrash(state, fingerprint, incarnation);
   }
 }
 
-void RecordAlive(State& state, BackendId life) {
-  const auto it = state.liveness_checks.find(life);
+void RecordAlive(State& state, BackendId incarnation) {
+  const auto it = state.liveness_checks.find(incarnation);
   if (it != state.liveness_checks.end()) it->second.last_alive_at = state.now;
 }
 
 void RepeatLivenessProbes(State& state) {
-  for (auto& [life, check] : state.liveness_checks) {
-    if (check.probe_due <= state.now) Ask(state, life, check);
+  for (auto& [incarnation, check] : state.liveness_checks) {
+    if (check.probe_due <= state.now) SendProbe(state, incarnation, check);
   }
   std::erase_if(state.ended_incarnations, [&](const auto& it) {
-    return it.second < state.now - kRemember;
+    return it.second < state.now - kEndedIncarnationRetention;
   });
 }
 
--- a/serving/src/repeat_budget.cc
+++ b/serving/src/repeat_budget.cc
@@ -8,10 +8,10 @@
 // killed and comes back, or callers move to others, each request counts for
 // somebody. The bound allows the ratio of one window's requests, so half of it
 // holds whatever lives and dies.
-constexpr double kRatioPart = 0.5;
+constexpr double kRatioFraction = 0.5;
 // Of the slack: repeats are counted where they arrive, a little later than
 // here.
-constexpr double kSlackPart = 0.9;
+constexpr double kSlackFraction = 0.9;
 
 }  // namespace
 
@@ -20,31 +20,30 @@
   requests_.push_back(now);
 }
 
-bool RetryBudget::ReserveRetry(Time now, double part) {
-  const RetryUsage account = Usage(now, part);
-  const auto taken = static_cast<double>(account.retries + account.reserved);
-  if (taken + 1 > account.available) return false;
+bool RetryBudget::ReserveRetry(Time now, double slack_fraction) {
+  const RetryUsage usage = Usage(now, slack_fraction);
+  const auto committed = static_cast<double>(usage.retries + usage.reserved);
+  if (committed + 1 > usage.available) return false;
   ++reserved_;
   return true;
 }
 
-bool RetryBudget::CommitRetry(Time now, double part) {
+bool RetryBudget::CommitRetry(Time now, double slack_fraction) {
   ReleaseRetry();
-  const RetryUsage account = Usage(now, part);
-  if (static_cast<double>(account.retries) + 1 > account.available)
-    return false;
+  const RetryUsage usage = Usage(now, slack_fraction);
+  if (static_cast<double>(usage.retries) + 1 > usage.available) return false;
   retries_.push_back(now);
   return true;
 }
 
-RetryUsage RetryBudget::Usage(Time now, double part) {
+RetryUsage RetryBudget::Usage(Time now, double slack_fraction) {
   DropExpired(now);
   const auto requests = static_cast<double>(requests_.size());
   return {.requests = requests_.size(),
           .retries = retries_.size(),
           .reserved = reserved_,
-          .available = kRatioPart * options_.ratio * requests +
-                       kSlackPart * options_.slack * part};
+          .available = kRatioFraction * options_.ratio * requests +
+                       kSlackFraction * options_.slack * slack_fraction};
 }
 
 void RetryBudget::DropExpired(Time now) {
--- a/serving/src/repeats.cc
+++ b/serving/src/repeats.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // A send after one that may have run needs at least so much time.
-constexpr Duration kLeastTimeLeft = milliseconds(50);
+constexpr Duration kMinTimeForRetry = milliseconds(50);
 
 RetryBudget& BudgetOf(State& state, const Request& request) {
   return state.retry_budgets
@@ -15,10 +15,10 @@
       .first->second;
 }
 
-void LogRepeat(State& state, const Request& request, const std::string& step,
-               bool allowed) {
+void LogRetry(State& state, const Request& request, const std::string& step,
+              bool allowed) {
   const DaemonCount count = CountOf(state);
-  const RetryUsage account =
+  const RetryUsage usage =
       BudgetOf(state, request)
           .Usage(state.now, state.slack_share.FractionAt(state.now));
   Log(state, "repeat",
@@ -26,10 +26,10 @@
        {"service", request.service},
        {"step", step},
        {"allowed", allowed ? "true" : "false"},
-       {"requests", std::to_string(account.requests)},
-       {"repeats", std::to_string(account.retries)},
-       {"planned", std::to_string(account.reserved)},
-       {"room", std::to_string(static_cast<std::int64_t>(account.available))},
+       {"requests", std::to_string(usage.requests)},
+       {"repeats", std::to_string(usage.retries)},
+       {"planned", std::to_string(usage.reserved)},
+       {"room", std::to_string(static_cast<std::int64_t>(usage.available))},
        {"share", std::string(NameIn(kShareStateNames,
                                     state.slack_share.StateAt(state.now)))},
        {"daemons", std::to_string(state.slack_share.daemons())},
@@ -46,13 +46,14 @@
 }
 
 RetryDenial ReserveRetry(State& state, Request& request) {
-  if (state.now + kLeastTimeLeft >= request.deadline) return RetryDenial::kTime;
+  if (state.now + kMinTimeForRetry >= request.deadline)
+    return RetryDenial::kTime;
   if (request.delivered_sends == 0) return RetryDenial::kNothing;
   const bool allowed =
       BudgetOf(state, request)
           .ReserveRetry(state.now, state.slack_share.FractionAt(state.now));
   request.retry_reserved = allowed;
-  LogRepeat(state, request, "plan", allowed);
+  LogRetry(state, request, "plan", allowed);
   if (allowed) return RetryDenial::kNothing;
   state.effects.emplace_back(IncrementCounter{Counter::kRetriesDenied});
   return RetryDenial::kBudget;
@@ -68,13 +69,13 @@
 
 bool CommitRetry(State& state, Request& request) {
   if (!std::exchange(request.retry_reserved, false)) return true;
-  const bool sends =
+  const bool allowed =
       BudgetOf(state, request)
           .CommitRetry(state.now, state.slack_share.FractionAt(state.now));
-  if (!sends) LogRepeat(state, request, "send", sends);
+  if (!allowed) LogRetry(state, request, "send", allowed);
   state.effects.emplace_back(
-      IncrementCounter{sends ? Counter::kRetries : Counter::kRetriesDenied});
-  return sends;
+      IncrementCounter{allowed ? Counter::kRetries : Counter::kRetriesDenied});
+  return allowed;
 }
 
 void ReleaseRetry(State& state, Request& request) {
--- a/serving/src/slack_share.cc
+++ b/serving/src/slack_share.cc
@@ -9,17 +9,17 @@
 // waits for all others to know of it. An asker's watch is answered after 4 s at
 // the latest, and told with its next proof, at most 1.35 s later where news may
 // take 3 s; what a receiver takes for the age is half a second more.
-constexpr Duration kCountWithin = seconds(7);
+constexpr Duration kMaxDaemonCountAge = seconds(7);
 
 }  // namespace
 
-void SlackShare::OnEntryConfirmed(Time now, Time until, bool anew) {
-  if (anew) entry_since_ = now;
+void SlackShare::OnEntryConfirmed(Time now, Time until, bool newly_written) {
+  if (newly_written) entry_since_ = now;
   entry_until_ = until;
 }
 
 void SlackShare::OnEntryLost(Time now) {
-  entry_until_ = std::min(entry_until_, now + kCountWithin);
+  entry_until_ = std::min(entry_until_, now + kMaxDaemonCountAge);
 }
 
 void SlackShare::RecordDaemonCount(Time now, std::size_t daemons) {
@@ -27,15 +27,15 @@
     daemon_counts_.pop_back();
   }
   daemon_counts_.emplace_back(now, daemons);
-  const Time from = now - window_ - kCountWithin;
+  const Time from = now - window_ - kMaxDaemonCountAge;
   while (daemon_counts_.front().first < from) daemon_counts_.pop_front();
 }
 
 ShareState SlackShare::StateAt(Time now) const {
   if (now >= entry_until_) return ShareState::kNoEntry;
-  if (now < entry_since_ + window_ + kCountWithin)
+  if (now < entry_since_ + window_ + kMaxDaemonCountAge)
     return ShareState::kTooRecent;
-  if (now > counted_at_ + kCountWithin) return ShareState::kCountStale;
+  if (now > counted_at_ + kMaxDaemonCountAge) return ShareState::kCountStale;
   return ShareState::kHeld;
 }
 
--- a/serving/test/early_requests_test.cc
+++ b/serving/test/early_requests_test.cc
@@ -14,34 +14,35 @@
 using test::MakeConfiguration;
 
 // A daemon that has just started.
-class Newcomer {
+class StartingDaemon {
  public:
-  Newcomer() : state_({.instance = "1.1.1.1:1", .peer_address = "1.1.1.1:2"}) {
-    At(milliseconds(0), Tick{});
+  StartingDaemon()
+      : state_({.instance = "1.1.1.1:1", .peer_address = "1.1.1.1:2"}) {
+    Feed(milliseconds(0), Tick{});
   }
 
-  Effects At(Duration since, EventBody body) {
+  Effects Feed(Duration since, EventBody body) {
     return Reduce(state_, {.now = kStart + since, .body = std::move(body)});
   }
-  Effects Ask(Duration since, RequestKey key) {
-    return At(since,
-              RequestArrived{.key = key,
-                             .metadata = {.id = "r" + std::to_string(key),
-                                          .host = "h",
-                                          .path = "/safe/x",
-                                          .keys = {"k"},
-                                          .deadline = seconds(4)}});
+  Effects SendRequest(Duration since, RequestKey key) {
+    return Feed(since,
+                RequestArrived{.key = key,
+                               .metadata = {.id = "r" + std::to_string(key),
+                                            .host = "h",
+                                            .path = "/safe/x",
+                                            .keys = {"k"},
+                                            .deadline = seconds(4)}});
   }
   // What the store holds, as it was so long after the start.
-  Effects Learn(Duration since) {
-    At(since, ConfigurationReceived{.configuration = MakeConfiguration(1),
-                                    .queried_at = kStart + since});
-    return At(since, BackendsListed{.backends = {{.id = "app0",
-                                                  .service = "app",
-                                                  .address = "app0:1",
-                                                  .slots = 8,
-                                                  .revision = {.number = 2}}},
-                                    .queried_at = kStart + since});
+  Effects ReceiveStoreState(Duration since) {
+    Feed(since, ConfigurationReceived{.configuration = MakeConfiguration(1),
+                                      .queried_at = kStart + since});
+    return Feed(since, BackendsListed{.backends = {{.id = "app0",
+                                                    .service = "app",
+                                                    .address = "app0:1",
+                                                    .slots = 8,
+                                                    .revision = {.number = 2}}},
+                                      .queried_at = kStart + since});
   }
   const State& state() const { return state_; }
 
@@ -57,11 +58,12 @@
 }
 
 TEST_CASE("What comes just after a start waits for the first configuration") {
-  Newcomer daemon;
+  StartingDaemon daemon;
   for (RequestKey key = 1; key <= 3; ++key) {
-    CHECK(CountOf<Refuse>(daemon.Ask(milliseconds(20), key)) == 0);
+    CHECK(CountOf<Refuse>(daemon.SendRequest(milliseconds(20), key)) == 0);
   }
-  CHECK(CountOf<StartAttempt>(daemon.Learn(milliseconds(200))) == 3);
+  CHECK(CountOf<StartAttempt>(daemon.ReceiveStoreState(milliseconds(200))) ==
+        3);
   // Its time counts from when it came.
   const Request& request = daemon.state().requests.at(1);
   CHECK(request.arrived == kStart + milliseconds(20));
@@ -70,31 +72,32 @@
 }
 
 TEST_CASE("It waits no longer than that usually takes") {
-  Newcomer daemon;
-  daemon.Ask(milliseconds(20), 1);
-  CHECK(CountOf<Refuse>(daemon.At(milliseconds(400), Tick{})) == 0);
-  CHECK(CountOf<Refuse>(daemon.At(milliseconds(425), Tick{})) == 1);
+  StartingDaemon daemon;
+  daemon.SendRequest(milliseconds(20), 1);
+  CHECK(CountOf<Refuse>(daemon.Feed(milliseconds(400), Tick{})) == 0);
+  CHECK(CountOf<Refuse>(daemon.Feed(milliseconds(425), Tick{})) == 1);
 }
 
 TEST_CASE("A daemon that has found no store refuses at once") {
-  Newcomer daemon;
-  CHECK(CountOf<Refuse>(daemon.Ask(milliseconds(1001), 1)) == 1);
+  StartingDaemon daemon;
+  CHECK(CountOf<Refuse>(daemon.SendRequest(milliseconds(1001), 1)) == 1);
 }
 
 TEST_CASE("No more wait than memory is meant for") {
-  Newcomer daemon;
+  StartingDaemon daemon;
   int refused = 0;
   for (RequestKey key = 1; key <= 300; ++key) {
-    refused += CountOf<Refuse>(daemon.Ask(milliseconds(20), key));
+    refused += CountOf<Refuse>(daemon.SendRequest(milliseconds(20), key));
   }
   CHECK(refused == 300 - 256);
 }
 
 TEST_CASE("Whoever leaves meanwhile is forgotten") {
-  Newcomer daemon;
-  daemon.Ask(milliseconds(20), 1);
-  daemon.At(milliseconds(30), ClientDisconnected{.key = 1});
-  CHECK(CountOf<StartAttempt>(daemon.Learn(milliseconds(200))) == 0);
+  StartingDaemon daemon;
+  daemon.SendRequest(milliseconds(20), 1);
+  daemon.Feed(milliseconds(30), ClientDisconnected{.key = 1});
+  CHECK(CountOf<StartAttempt>(daemon.ReceiveStoreState(milliseconds(200))) ==
+        0);
   CHECK(daemon.state().requests.empty());
 }
 
--- a/serving/test/fleet_repeats_test.cc
+++ b/serving/test/fleet_repeats_test.cc
@@ -18,9 +18,9 @@
 constexpr double kSlack = 30;
 
 // One daemon before one plain backend server that declines everything.
-class Declined {
+class DaemonOfDecliningServer {
  public:
-  Declined()
+  DaemonOfDecliningServer()
       : state_({.instance = "1.1.1.1:1",
                 .peer_address = "1.1.1.1:2",
                 .retry_budget = {
@@ -37,21 +37,21 @@
   }
 
   // Everything it knows of the store is the newest, or may be old.
-  void Prove() {
+  void ConfirmStore() {
     Feed(ConfigurationConfirmed{.revision = {.number = 1}, .queried_at = now_});
     Feed(BackendsConfirmed{.queried_at = now_});
   }
-  void Pass(Duration time, bool proved) {
+  void AdvanceTime(Duration time, bool confirmed) {
     const Time until = now_ + time;
     while (now_ < until) {
       now_ += milliseconds(10);
-      if (proved) Prove();
+      if (confirmed) ConfirmStore();
       // The store speaks, so that what is old isn't gone by.
       Feed(StoreResponded{});
       Feed(Tick{});
     }
   }
-  void Ask() {
+  void SendRequest() {
     const RequestKey key = ++last_key_;
     Feed(RequestArrived{.key = key,
                         .metadata = {.id = "r" + std::to_string(key),
@@ -62,18 +62,20 @@
   }
   // The first of those underway.
   void Decline(std::size_t n) {
-    n = std::min(n, underway_.size());
+    n = std::min(n, active_attempts_.size());
     const std::vector<AttemptId> declined(
-        underway_.begin(), underway_.begin() + static_cast<std::ptrdiff_t>(n));
-    underway_.erase(underway_.begin(),
-                    underway_.begin() + static_cast<std::ptrdiff_t>(n));
+        active_attempts_.begin(),
+        active_attempts_.begin() + static_cast<std::ptrdiff_t>(n));
+    active_attempts_.erase(
+        active_attempts_.begin(),
+        active_attempts_.begin() + static_cast<std::ptrdiff_t>(n));
     for (const AttemptId it : declined) {
       Feed(AttemptAnswered{
           .attempt = it, .kind = AnswerKind::kNotRun, .status = 503});
     }
   }
   // Sends so far, of which those after each request's first.
-  const std::vector<Time>& repeats() const { return repeats_; }
+  const std::vector<Time>& retries() const { return retries_; }
 
  private:
   void Feed(EventBody body) {
@@ -81,36 +83,36 @@
          Reduce(state_, {.now = now_, .body = std::move(body)})) {
       const auto* sent = std::get_if<StartAttempt>(&it);
       if (sent == nullptr) continue;
-      underway_.push_back(sent->attempt);
-      if (sent_[sent->key]++ > 0) repeats_.push_back(now_);
+      active_attempts_.push_back(sent->attempt);
+      if (sent_[sent->key]++ > 0) retries_.push_back(now_);
     }
   }
 
   State state_;
   Time now_ = kStart;
   RequestKey last_key_ = 0;
-  std::vector<AttemptId> underway_;
+  std::vector<AttemptId> active_attempts_;
   std::map<RequestKey, int> sent_;
-  std::vector<Time> repeats_;
+  std::vector<Time> retries_;
 };
 
 // A repeat was counted when it was decided. While what is known of the store is
 // too old nothing is sent, so that the repeats of several windows wait, and
 // they went out in one moment.
 TEST_CASE("Repeats that waited together keep to the window when they leave") {
-  Declined daemon;
-  daemon.Prove();
-  for (int i = 0; i < 180; ++i) daemon.Ask();
+  DaemonOfDecliningServer daemon;
+  daemon.ConfirmStore();
+  for (int i = 0; i < 180; ++i) daemon.SendRequest();
   // Declined one after another, while proofs are lacking.
-  daemon.Pass(milliseconds(2500), false);
+  daemon.AdvanceTime(milliseconds(2500), false);
   for (int i = 0; i < 9; ++i) {
     daemon.Decline(20);
-    daemon.Pass(seconds(1), false);
+    daemon.AdvanceTime(seconds(1), false);
   }
-  REQUIRE(daemon.repeats().empty());
-  daemon.Pass(milliseconds(20), true);
-  CHECK_FALSE(daemon.repeats().empty());
-  CHECK(daemon.repeats().size() <= kSlack);
+  REQUIRE(daemon.retries().empty());
+  daemon.AdvanceTime(milliseconds(20), true);
+  CHECK_FALSE(daemon.retries().empty());
+  CHECK(daemon.retries().size() <= kSlack);
 }
 
 }  // namespace
--- a/serving/test/innocent_requests_test.cc
+++ b/serving/test/innocent_requests_test.cc
@@ -7,83 +7,88 @@
 namespace scaleshed::serving::test {
 namespace {
 
-struct Innocent {
-  std::size_t asked = 0;
-  std::size_t served = 0;
-  std::size_t sends = 0;    // of long prompts
-  std::size_t helpers = 0;  // of these together
+struct LoadTotals {
+  std::size_t sent = 0;
+  std::size_t answered = 0;
+  std::size_t long_sends = 0;  // of long prompts
+  std::size_t helpers = 0;     // of these together
 };
 
 // Long prompts, hot ones that are asked for again and again, and others, before
 // engines that reset two answers in five. `known`: what is asked for is told by
 // its content, by which doubts go.
-Innocent PlayResets(SimulatedFleetOptions options, bool known) {
+LoadTotals RunLoadWithResets(SimulatedFleetOptions options,
+                             bool with_fingerprints) {
   options.hold_slack_share = true;
   options.stream_reset_share = 0.4;
-  SimulatedFleet hall(options);
+  SimulatedFleet fleet(options);
   std::mt19937_64 random(3);
-  std::vector<RequestKey> asked;
-  std::vector<RequestKey> long_ones;
-  constexpr std::uint64_t kHot = 5;
+  std::vector<RequestKey> sent;
+  std::vector<RequestKey> long_prompts;
+  constexpr std::uint64_t kHotPrompt = 5;
   constexpr std::int64_t kLongPrompt = 210'000;
   constexpr int kSteps = 1600;
   std::uint64_t next = 1000;
-  const auto any = [&] {
+  const auto any_daemon = [&] {
     return static_cast<int>(random() %
                             static_cast<std::uint64_t>(options.daemons));
   };
-  const auto content = [&](std::uint64_t it) { return known ? it : 0; };
+  const auto fingerprint_of = [&](std::uint64_t it) {
+    return with_fingerprints ? it : 0;
+  };
   for (int step = 0; step < kSteps; ++step) {
     if (step % 100 == 0) {
       // Each second one is about the same.
-      const std::uint64_t it = step % 200 == 0 ? kHot : ++next;
-      long_ones.push_back(
-          hall.SendPrompt(any(), kLongPrompt, seconds(10), content(it)));
+      const std::uint64_t it = step % 200 == 0 ? kHotPrompt : ++next;
+      long_prompts.push_back(fleet.SendPrompt(any_daemon(), kLongPrompt,
+                                              seconds(10), fingerprint_of(it)));
     }
     if (step % 5 == 0) {
-      const std::uint64_t it = random() % 3 == 0 ? kHot + 1 : ++next;
-      asked.push_back(hall.SendPrompt(any(), 3000, seconds(10), content(it)));
+      const std::uint64_t it = random() % 3 == 0 ? kHotPrompt + 1 : ++next;
+      sent.push_back(fleet.SendPrompt(any_daemon(), 3000, seconds(10),
+                                      fingerprint_of(it)));
     }
-    hall.AdvanceTime(milliseconds(5));
+    fleet.AdvanceTime(milliseconds(5));
   }
-  hall.AdvanceTime(seconds(12));
-  Innocent outcome;
-  for (const RequestKey it : long_ones) {
-    for (const std::size_t helpers : hall.helpers().at(it)) {
-      ++outcome.sends;
-      outcome.helpers += helpers;
+  fleet.AdvanceTime(seconds(12));
+  LoadTotals totals;
+  for (const RequestKey it : long_prompts) {
+    for (const std::size_t helpers : fleet.helpers().at(it)) {
+      ++totals.long_sends;
+      totals.helpers += helpers;
     }
   }
-  asked.insert(asked.end(), long_ones.begin(), long_ones.end());
-  outcome.asked = asked.size();
-  for (const RequestKey it : asked) {
-    if (hall.answered().contains(it)) ++outcome.served;
+  sent.insert(sent.end(), long_prompts.begin(), long_prompts.end());
+  totals.sent = sent.size();
+  for (const RequestKey it : sent) {
+    if (fleet.answered().contains(it)) ++totals.answered;
   }
-  return outcome;
+  return totals;
 }
 
-std::string TextOf(const Innocent& it) {
-  return "served " + std::to_string(it.served) + " of " +
-         std::to_string(it.asked) + ", long sends " + std::to_string(it.sends) +
-         ", their helpers " + std::to_string(it.helpers);
+std::string Describe(const LoadTotals& it) {
+  return "served " + std::to_string(it.answered) + " of " +
+         std::to_string(it.sent) + ", long sends " +
+         std::to_string(it.long_sends) + ", their helpers " +
+         std::to_string(it.helpers);
 }
 
-void CheckAsWithoutDoubt(const SimulatedFleetOptions& options) {
-  const Innocent doubted = PlayResets(options, /*known=*/true);
-  const Innocent plain = PlayResets(options, /*known=*/false);
-  INFO("with contents: " << TextOf(doubted));
-  INFO("without: " << TextOf(plain));
-  CHECK(doubted.served >= plain.served);
-  CHECK(doubted.sends == plain.sends);
-  CHECK(doubted.helpers * 10 >= plain.helpers * 9);
+void CheckSuspicionCostsNothing(const SimulatedFleetOptions& options) {
+  const LoadTotals suspected = RunLoadWithResets(options, /*known=*/true);
+  const LoadTotals unsuspected = RunLoadWithResets(options, /*known=*/false);
+  INFO("with contents: " << Describe(suspected));
+  INFO("without: " << Describe(unsuspected));
+  CHECK(suspected.answered >= unsuspected.answered);
+  CHECK(suspected.long_sends == unsuspected.long_sends);
+  CHECK(suspected.helpers * 10 >= unsuspected.helpers * 9);
 }
 
 TEST_CASE("Long prompts cut by resets keep their helpers, with few daemons") {
-  CheckAsWithoutDoubt({.daemons = 8, .data_centres = 3, .engines = 18});
+  CheckSuspicionCostsNothing({.daemons = 8, .data_centres = 3, .engines = 18});
 }
 
 TEST_CASE("Long prompts cut by resets keep their helpers, with many daemons") {
-  CheckAsWithoutDoubt({.daemons = 40, .data_centres = 4, .engines = 32});
+  CheckSuspicionCostsNothing({.daemons = 40, .data_centres = 4, .engines = 32});
 }
 
 }  // namespace
--- a/serving/test/life_checks_test.cc
+++ b/serving/test/life_checks_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // The last line on a backend server that was asked, in effects.
-std::string OutcomeIn(const Effects& effects) {
+std::string CheckOutcomeIn(const Effects& effects) {
   for (const Effect& it : effects) {
     const auto* line = std::get_if<LogDecision>(&it);
     if (line == nullptr || line->event != "life_checked") continue;
@@ -18,75 +18,75 @@
 }
 
 // A send that was cut, and the backend server that it was at.
-BackendId CutOne(Daemon& daemon) {
+BackendId InterruptAttempt(Daemon& daemon) {
   daemon.SendRequest("stream");
   const auto* sent = daemon.FirstEffect<StartAttempt>();
   const BackendId id = daemon.state().backends.at(sent->instance).id;
   daemon.Feed(AttemptFailed{.attempt = sent->attempt});
-  const auto* asked = daemon.FirstEffect<ProbeLiveness>();
-  REQUIRE(asked != nullptr);
-  CHECK(asked->backend == id);
+  const auto* probes = daemon.FirstEffect<ProbeLiveness>();
+  REQUIRE(probes != nullptr);
+  CHECK(probes->backend == id);
   return id;
 }
 
 TEST_CASE("One that refuses twice after an answer broke off has ended") {
   Daemon daemon;
-  const BackendId id = CutOne(daemon);
+  const BackendId id = InterruptAttempt(daemon);
   daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
-  CHECK(OutcomeIn(daemon.effects()).empty());
+  CHECK(CheckOutcomeIn(daemon.effects()).empty());
   daemon.AdvanceTime(milliseconds(80));
   REQUIRE(daemon.FirstEffect<ProbeLiveness>() != nullptr);
   daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
-  CHECK(OutcomeIn(daemon.effects()) == "over");
+  CHECK(CheckOutcomeIn(daemon.effects()) == "over");
 }
 
 TEST_CASE("One that speaks after an answer broke off lives") {
   Daemon daemon;
-  const BackendId id = CutOne(daemon);
+  const BackendId id = InterruptAttempt(daemon);
   daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
   daemon.AdvanceTime(milliseconds(80));
   daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kAlive});
-  CHECK(OutcomeIn(daemon.effects()) == "lives");
+  CHECK(CheckOutcomeIn(daemon.effects()) == "lives");
 }
 
 TEST_CASE("One that is full and goes on with other work lives") {
   Daemon daemon;
-  const BackendId id = CutOne(daemon);
+  const BackendId id = InterruptAttempt(daemon);
   daemon.AdvanceTime(milliseconds(40));
   // Both the send made again and a new one may be at another one: what counts
   // is that anything of this one comes.
-  AttemptId there = 0;
+  AttemptId attempt = 0;
   daemon.Observe([&](const Effects& effects) {
     for (const Effect& it : effects) {
       const auto* sent = std::get_if<StartAttempt>(&it);
       if (sent != nullptr &&
           daemon.state().backends.at(sent->instance).id == id) {
-        there = sent->attempt;
+        attempt = sent->attempt;
       }
     }
   });
   daemon.ConfirmStore();
   daemon.AdvanceTime(seconds(1));
   daemon.ConfirmStore();
-  for (int i = 0; i < 100 && there == 0; ++i) daemon.SendRequest("stream");
-  REQUIRE(there != 0);
-  daemon.Feed(StreamEvent{.attempt = there, .id = "1", .bytes = "x"});
+  for (int i = 0; i < 100 && attempt == 0; ++i) daemon.SendRequest("stream");
+  REQUIRE(attempt != 0);
+  daemon.Feed(StreamEvent{.attempt = attempt, .id = "1", .bytes = "x"});
   daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
-  CHECK(OutcomeIn(daemon.effects()) == "lives");
+  CHECK(CheckOutcomeIn(daemon.effects()) == "lives");
 }
 
 TEST_CASE(
     "One of which nothing is seen is asked for a while, and not counted") {
   Daemon daemon;
-  const BackendId id = CutOne(daemon);
-  int asked = 0;
+  const BackendId id = InterruptAttempt(daemon);
+  int probes = 0;
   for (int i = 0; i < 40 && daemon.state().liveness_checks.contains(id); ++i) {
     daemon.Feed(
         LivenessProbed{.backend = id, .result = ProbeResult::kInconclusive});
     daemon.AdvanceTime(milliseconds(200));
-    if (daemon.FirstEffect<ProbeLiveness>() != nullptr) ++asked;
+    if (daemon.FirstEffect<ProbeLiveness>() != nullptr) ++probes;
   }
-  CHECK(asked > 5);
+  CHECK(probes > 5);
   CHECK_FALSE(daemon.state().liveness_checks.contains(id));
   CHECK(daemon.state().ended_incarnations.empty());
 }
--- a/serving/test/quarantine_test.cc
+++ b/serving/test/quarantine_test.cc
@@ -7,118 +7,120 @@
 namespace {
 
 const Time kNow{seconds(1000)};
-constexpr std::uint64_t kContent = 5;
+constexpr std::uint64_t kFingerprint = 5;
 
 // What one daemon knows that saw so many ends.
-Quarantine Seen(BackendId ends) {
+Quarantine WithCrashes(BackendId crashes) {
   Quarantine quarantine;
-  for (BackendId i = 1; i <= ends; ++i) {
-    quarantine.AddCrash({.fingerprint = kContent, .incarnation = i}, kNow);
+  for (BackendId i = 1; i <= crashes; ++i) {
+    quarantine.AddCrash({.fingerprint = kFingerprint, .incarnation = i}, kNow);
   }
   return quarantine;
 }
 
 TEST_CASE("Three lives that ended hold a content, one told thrice doesn't") {
-  Quarantine quarantine = Seen(1);
-  CHECK_FALSE(
-      quarantine.AddCrash({.fingerprint = kContent, .incarnation = 1}, kNow));
-  CHECK_FALSE(quarantine.IsQuarantined(kContent));
-  quarantine.AddCrash({.fingerprint = kContent, .incarnation = 2}, kNow);
-  CHECK_FALSE(quarantine.IsQuarantined(kContent));
-  quarantine.AddCrash({.fingerprint = kContent, .incarnation = 3}, kNow);
-  CHECK(quarantine.IsQuarantined(kContent));
-  CHECK_FALSE(quarantine.IsQuarantined(kContent + 1));
+  Quarantine quarantine = WithCrashes(1);
+  CHECK_FALSE(quarantine.AddCrash(
+      {.fingerprint = kFingerprint, .incarnation = 1}, kNow));
+  CHECK_FALSE(quarantine.IsQuarantined(kFingerprint));
+  quarantine.AddCrash({.fingerprint = kFingerprint, .incarnation = 2}, kNow);
+  CHECK_FALSE(quarantine.IsQuarantined(kFingerprint));
+  quarantine.AddCrash({.fingerprint = kFingerprint, .incarnation = 3}, kNow);
+  CHECK(quarantine.IsQuarantined(kFingerprint));
+  CHECK_FALSE(quarantine.IsQuarantined(kFingerprint + 1));
 }
 
 TEST_CASE("An end that was forgiven is not counted when it is told late") {
-  Quarantine quarantine = Seen(2);
-  quarantine.ClearFingerprint(kContent, kNow);
-  CHECK(quarantine.CrashCount(kContent) == 0);
-  CHECK_FALSE(
-      quarantine.AddCrash({.fingerprint = kContent, .incarnation = 1}, kNow));
-  CHECK(quarantine.CrashCount(kContent) == 0);
+  Quarantine quarantine = WithCrashes(2);
+  quarantine.ClearFingerprint(kFingerprint, kNow);
+  CHECK(quarantine.CrashCount(kFingerprint) == 0);
+  CHECK_FALSE(quarantine.AddCrash(
+      {.fingerprint = kFingerprint, .incarnation = 1}, kNow));
+  CHECK(quarantine.CrashCount(kFingerprint) == 0);
   // A later end counts.
-  quarantine.AddCrash({.fingerprint = kContent, .incarnation = 9}, kNow);
-  CHECK(quarantine.CrashCount(kContent) == 1);
+  quarantine.AddCrash({.fingerprint = kFingerprint, .incarnation = 9}, kNow);
+  CHECK(quarantine.CrashCount(kFingerprint) == 1);
 }
 
 TEST_CASE("News told in any order, twice or late make the same") {
   std::mt19937_64 random(3);
   for (int run = 0; run < 200; ++run) {
-    constexpr int kTold = 12;
-    std::vector<Crash> told;
-    told.reserve(kTold);
-    for (int i = 0; i < kTold; ++i) {
-      told.push_back({.fingerprint = random() % 3,
-                      .incarnation = random() % 4,
-                      .cleared = random() % 4 == 0});
+    constexpr int kCrashCount = 12;
+    std::vector<Crash> crashes;
+    crashes.reserve(kCrashCount);
+    for (int i = 0; i < kCrashCount; ++i) {
+      crashes.push_back({.fingerprint = random() % 3,
+                         .incarnation = random() % 4,
+                         .cleared = random() % 4 == 0});
     }
     Quarantine one;
-    for (const Crash& it : told) one.AddCrash(it, kNow);
-    std::shuffle(told.begin(), told.end(), random);
+    for (const Crash& it : crashes) one.AddCrash(it, kNow);
+    std::shuffle(crashes.begin(), crashes.end(), random);
     Quarantine other;
-    for (const Crash& it : told) other.AddCrash(it, kNow);
-    for (const Crash& it : told) other.AddCrash(it, kNow);
-    for (std::uint64_t content = 0; content < 3; ++content) {
-      CHECK(one.CrashCount(content) == other.CrashCount(content));
+    for (const Crash& it : crashes) other.AddCrash(it, kNow);
+    for (const Crash& it : crashes) other.AddCrash(it, kNow);
+    for (std::uint64_t fingerprint = 0; fingerprint < 3; ++fingerprint) {
+      CHECK(one.CrashCount(fingerprint) == other.CrashCount(fingerprint));
     }
   }
 }
 
 TEST_CASE("The store is to hold what is known, under the revision it has") {
-  Quarantine quarantine = Seen(1);
+  Quarantine quarantine = WithCrashes(1);
   REQUIRE(quarantine.Unsaved(10).size() == 1);
   CHECK(quarantine.Unsaved(10).front().revision.number == 0);
-  quarantine.ApplyStored({.fingerprint = kContent,
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1},
                           .revision = {.number = 20}},
                          kNow);
   CHECK(quarantine.Unsaved(10).empty());
-  quarantine.AddCrash({.fingerprint = kContent, .incarnation = 2}, kNow);
+  quarantine.AddCrash({.fingerprint = kFingerprint, .incarnation = 2}, kNow);
   const StoredCrashes unsaved = quarantine.Unsaved(10).front();
   CHECK(unsaved.incarnations == std::vector<BackendId>{1, 2});
   CHECK(unsaved.revision.number == 20);
   // Another daemon wrote first: both are to be there.
-  quarantine.ApplyStored({.fingerprint = kContent,
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1, 3},
                           .revision = {.number = 21}},
                          kNow);
-  CHECK(quarantine.IsQuarantined(kContent));
+  CHECK(quarantine.IsQuarantined(kFingerprint));
   CHECK(quarantine.Unsaved(10).front().incarnations ==
         std::vector<BackendId>{1, 2, 3});
 }
 
 TEST_CASE("What is taken out of the store is forgiven, what it never had not") {
-  Quarantine quarantine = Seen(2);
-  quarantine.ApplyStored({.fingerprint = kContent,
+  Quarantine quarantine = WithCrashes(2);
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1},
                           .revision = {.number = 20}},
                          kNow);
-  quarantine.ApplyStored(
-      {.fingerprint = kContent, .incarnations = {}, .revision = {.number = 21}},
-      kNow);
-  CHECK(quarantine.CrashCount(kContent) == 1);
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
+                          .incarnations = {},
+                          .revision = {.number = 21}},
+                         kNow);
+  CHECK(quarantine.CrashCount(kFingerprint) == 1);
   // An older word of the store comes late.
-  quarantine.ApplyStored({.fingerprint = kContent,
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1},
                           .revision = {.number = 20}},
                          kNow);
-  CHECK(quarantine.CrashCount(kContent) == 1);
+  CHECK(quarantine.CrashCount(kFingerprint) == 1);
 }
 
 TEST_CASE("Those that know the same of the store have the same digest") {
-  Quarantine one = Seen(1);
+  Quarantine one = WithCrashes(1);
   Quarantine other;
-  const StoredCrashes stored{.fingerprint = kContent,
+  const StoredCrashes stored{.fingerprint = kFingerprint,
                              .incarnations = {1, 2},
                              .revision = {.number = 20}};
   one.ApplyStored(stored, kNow);
   CHECK(one.digest() != other.digest());
   other.ApplyStored(stored, kNow);
   CHECK(one.digest() == other.digest());
-  one.ApplyStored(
-      {.fingerprint = kContent, .incarnations = {}, .revision = {.number = 21}},
-      kNow);
+  one.ApplyStored({.fingerprint = kFingerprint,
+                   .incarnations = {},
+                   .revision = {.number = 21}},
+                  kNow);
   CHECK(one.digest() == Quarantine().digest());
 }
 
@@ -164,55 +166,55 @@
 }
 
 TEST_CASE("Of too many contents those with the fewest ends go first") {
-  Quarantine quarantine = Seen(3);
+  Quarantine quarantine = WithCrashes(3);
   for (std::uint64_t i = 0; i < Quarantine::kMaxFingerprints + 50; ++i) {
     quarantine.AddCrash({.fingerprint = 100 + i, .incarnation = 1},
                         kNow + milliseconds(static_cast<int>(i)));
   }
   CHECK(quarantine.size() == Quarantine::kMaxFingerprints);
-  CHECK(quarantine.IsQuarantined(kContent));
+  CHECK(quarantine.IsQuarantined(kFingerprint));
   CHECK(quarantine.CrashCount(100) == 0);
   CHECK(quarantine.CrashCount(100 + Quarantine::kMaxFingerprints) == 1);
 }
 
 // A restore would have freed a request that ends servers.
 TEST_CASE("What a restored store lacks is written again, and not forgiven") {
-  Quarantine quarantine = Seen(3);
-  quarantine.ApplyStored({.fingerprint = kContent,
+  Quarantine quarantine = WithCrashes(3);
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1, 2, 3},
                           .revision = {.epoch = 1, .number = 20}},
                          kNow);
   REQUIRE_FALSE(quarantine.has_unsaved());
-  quarantine.ApplyStored({.fingerprint = kContent,
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1},
                           .revision = {.epoch = 2, .number = 9}},
                          kNow);
-  CHECK(quarantine.IsQuarantined(kContent));
+  CHECK(quarantine.IsQuarantined(kFingerprint));
   const auto unsaved = quarantine.Unsaved(10);
   REQUIRE(unsaved.size() == 1);
   CHECK(unsaved.front().incarnations == std::vector<BackendId>{1, 2, 3});
   CHECK(unsaved.front().revision == StoreRevision{.epoch = 2, .number = 9});
   // What is taken away in that era was taken away by somebody who knew.
-  quarantine.ApplyStored({.fingerprint = kContent,
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {},
                           .revision = {.epoch = 2, .number = 12}},
                          kNow);
-  CHECK(quarantine.CrashCount(kContent) == 2);
+  CHECK(quarantine.CrashCount(kFingerprint) == 2);
 }
 
 // Numbers of the era before were kept, and lower ones dropped as old.
 TEST_CASE("Ends that are removed in an era that was adopted are forgiven") {
-  Quarantine quarantine = Seen(3);
-  quarantine.ApplyStored({.fingerprint = kContent,
+  Quarantine quarantine = WithCrashes(3);
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1, 2, 3},
                           .revision = {.epoch = 1, .number = 20}},
                          kNow);
   quarantine.AdoptEpoch(2);
-  quarantine.ApplyStored({.fingerprint = kContent,
+  quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {},
                           .revision = {.epoch = 2, .number = 9}},
                          kNow);
-  CHECK(quarantine.CrashCount(kContent) == 0);
+  CHECK(quarantine.CrashCount(kFingerprint) == 0);
 }
 
 }  // namespace
--- a/serving/test/reducer_test.cc
+++ b/serving/test/reducer_test.cc
@@ -42,15 +42,15 @@
   CHECK(refused->status == 503);
   // The word that an older revision was the newest proves that only for when
   // it was asked.
-  const Time asked = daemon.now() - milliseconds(4850);
-  daemon.Feed(
-      ConfigurationConfirmed{.revision = {.number = 1}, .queried_at = asked});
-  CHECK(daemon.state().confirmed_at == asked);
+  const Time queried_at = daemon.now() - milliseconds(4850);
+  daemon.Feed(ConfigurationConfirmed{.revision = {.number = 1},
+                                     .queried_at = queried_at});
+  CHECK(daemon.state().confirmed_at == queried_at);
   CHECK_FALSE(IsServing(daemon.state()));
   // A word about one that is not known here proves nothing.
   daemon.Feed(ConfigurationConfirmed{.revision = {.number = 3},
                                      .queried_at = daemon.now()});
-  CHECK(daemon.state().confirmed_at == asked);
+  CHECK(daemon.state().confirmed_at == queried_at);
   daemon.Feed(ConfigurationConfirmed{.revision = {.number = 2},
                                      .queried_at = daemon.now()});
   CHECK(IsServing(daemon.state()));
@@ -72,11 +72,11 @@
   CHECK_FALSE(daemon.state().backends.contains("app1"));
 }
 
-std::set<std::string> AskedOf(const Effects& effects) {
+std::set<std::string> FetchedReportAddresses(const Effects& effects) {
   std::set<std::string> addresses;
   for (const Effect& it : effects) {
-    if (const auto* question = std::get_if<FetchEngineReport>(&it)) {
-      addresses.insert(question->address);
+    if (const auto* fetch = std::get_if<FetchEngineReport>(&it)) {
+      addresses.insert(fetch->address);
     }
   }
   return addresses;
@@ -85,7 +85,7 @@
 TEST_CASE("Each engine is asked how it does, by one daemon of all") {
   Daemon daemon;
   daemon.AdvanceTime(milliseconds(1700));
-  CHECK(AskedOf(daemon.effects()).size() == 6);
+  CHECK(FetchedReportAddresses(daemon.effects()).size() == 6);
   daemon.ConfirmStore();
   // Two others serve: each engine is one daemon's to ask.
   for (const std::string peer : {"1.1.1.2:2", "1.1.1.3:2"}) {
@@ -95,8 +95,9 @@
                                   .serving = true}});
   }
   daemon.AdvanceTime(milliseconds(1700));
-  const std::size_t own = AskedOf(daemon.effects()).size();
-  CHECK(own < 6);
+  const std::size_t own_reports =
+      FetchedReportAddresses(daemon.effects()).size();
+  CHECK(own_reports < 6);
   // One of them falls silent, and its engines are asked by the others.
   for (std::uint64_t i = 2; i < 40; ++i) {
     daemon.AdvanceTime(milliseconds(100));
@@ -107,7 +108,7 @@
   }
   daemon.ConfirmStore();
   daemon.AdvanceTime(milliseconds(1700));
-  CHECK(AskedOf(daemon.effects()).size() >= own);
+  CHECK(FetchedReportAddresses(daemon.effects()).size() >= own_reports);
 }
 
 TEST_CASE("An engine that says it is slow gets nothing until it is not") {
--- a/serving/test/repeat_budget_test.cc
+++ b/serving/test/repeat_budget_test.cc
@@ -9,9 +9,10 @@
 const Time kStart{seconds(100)};
 
 // Plans and sends until there is no room; how many left.
-int SendAll(RetryBudget& budget, Time now, double part) {
+int SendAll(RetryBudget& budget, Time now, double slack_fraction) {
   int sent = 0;
-  while (budget.ReserveRetry(now, part) && budget.CommitRetry(now, part))
+  while (budget.ReserveRetry(now, slack_fraction) &&
+         budget.CommitRetry(now, slack_fraction))
     ++sent;
   return sent;
 }
@@ -49,15 +50,15 @@
 
 TEST_CASE("What is planned takes room until it is sent or dropped") {
   RetryBudget budget({.ratio = 0, .slack = 10, .window = seconds(10)});
-  int planned = 0;
-  while (budget.ReserveRetry(kStart, 1)) ++planned;
-  CHECK(planned == 9);
+  int reserved = 0;
+  while (budget.ReserveRetry(kStart, 1)) ++reserved;
+  CHECK(reserved == 9);
   budget.ReleaseRetry();
   CHECK(budget.ReserveRetry(kStart, 1));
   CHECK_FALSE(budget.ReserveRetry(kStart, 1));
   // It leaves a window later, and counts from then.
   const Time later = kStart + seconds(20);
-  for (int i = 0; i < planned; ++i) CHECK(budget.CommitRetry(later, 1));
+  for (int i = 0; i < reserved; ++i) CHECK(budget.CommitRetry(later, 1));
   CHECK_FALSE(budget.ReserveRetry(later + seconds(9), 1));
   CHECK(budget.ReserveRetry(later + seconds(11), 1));
 }
@@ -80,15 +81,15 @@
   constexpr int kRate = 50;  // requests a second
   const Duration window = seconds(10);
   for (int killed = 0; killed <= 10; ++killed) {
-    RetryBudget life({.ratio = 0.2, .slack = 0, .window = window});
+    RetryBudget budget({.ratio = 0.2, .slack = 0, .window = window});
     int sent = 0;  // in the window that begins with the trouble
     for (int second = -10; second < 10; ++second) {
       const Time now = kStart + seconds(second);
       if (second == killed) {
-        life = RetryBudget({.ratio = 0.2, .slack = 0, .window = window});
+        budget = RetryBudget({.ratio = 0.2, .slack = 0, .window = window});
       }
-      for (int i = 0; i < kRate; ++i) life.CountRequest(now);
-      if (second >= 0) sent += SendAll(life, now, 0);
+      for (int i = 0; i < kRate; ++i) budget.CountRequest(now);
+      if (second >= 0) sent += SendAll(budget, now, 0);
     }
     INFO("killed after " << killed << " s");
     CHECK(sent <= 0.2 * kRate * 10);
--- a/serving/test/slack_share_test.cc
+++ b/serving/test/slack_share_test.cc
@@ -19,12 +19,12 @@
 
 const Time kStart{seconds(1000)};
 constexpr Duration kWindow = seconds(10);
-constexpr Duration kTtl = seconds(20);
+constexpr Duration kEntryTtl = seconds(20);
 
 // With its part from `since` on, if the store goes on holding its entry.
-SlackShare Holder(Time since, std::size_t daemons) {
+SlackShare MakeHeldShare(Time since, std::size_t daemons) {
   SlackShare share(kWindow);
-  share.OnEntryConfirmed(since, since + kTtl, true);
+  share.OnEntryConfirmed(since, since + kEntryTtl, true);
   share.OnDaemonsCounted(since);
   share.RecordDaemonCount(since, daemons);
   return share;
@@ -32,14 +32,14 @@
 
 // The store renewed the entry and was counted.
 void Renew(SlackShare& share, Time now, std::size_t daemons) {
-  share.OnEntryConfirmed(now, now + kTtl, false);
+  share.OnEntryConfirmed(now, now + kEntryTtl, false);
   share.OnDaemonsCounted(now);
   share.RecordDaemonCount(now, daemons);
 }
 
 TEST_CASE(
     "A new entry has no part for a window and as long as counts are old") {
-  SlackShare share = Holder(kStart, 8);
+  SlackShare share = MakeHeldShare(kStart, 8);
   Renew(share, kStart + seconds(16), 8);
   CHECK(share.StateAt(kStart + seconds(16)) == ShareState::kTooRecent);
   CHECK(share.FractionAt(kStart + seconds(16)) == 0);
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("A part ends with the entry, or with its count") {
-  SlackShare share = Holder(kStart, 8);
+  SlackShare share = MakeHeldShare(kStart, 8);
   Renew(share, kStart + seconds(18), 8);
   CHECK(share.StateAt(kStart + seconds(25)) == ShareState::kHeld);
   CHECK(share.StateAt(kStart + seconds(26)) == ShareState::kCountStale);
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE("The parts of others are taken once they are out of the window") {
-  SlackShare share = Holder(kStart, 8);
+  SlackShare share = MakeHeldShare(kStart, 8);
   Renew(share, kStart + seconds(20), 8);
   Renew(share, kStart + seconds(21), 4);
   CHECK(share.daemons() == 8);
@@ -75,9 +75,9 @@
 // Daemons that start, are killed, come back under their address, lose the
 // store for a while, and spend all that they may, all the time. The store's
 // count comes to each late, and what each hears of others may be nothing.
-class DrawnFleet {
+class RandomFleet {
  public:
-  DrawnFleet(std::uint64_t seed, std::size_t daemons)
+  RandomFleet(std::uint64_t seed, std::size_t daemons)
       : random_(seed), daemons_(daemons) {
     for (Daemon& it : daemons_) Start(it);
   }
@@ -88,7 +88,7 @@
     // Entries whose lease is over go.
     std::erase_if(entries_, [&](const auto& it) { return it.second <= now_; });
     counts_.push_back(entries_.size());
-    Trouble();
+    InjectFault();
   }
   std::size_t InWindow() {
     while (!sent_.empty() && sent_.front() < now_ - kWindow) sent_.pop_front();
@@ -101,64 +101,67 @@
   static constexpr Duration kStep = milliseconds(200);
 
   struct Daemon {
-    bool lives = false;
-    Time due{};        // of its next call to the store, or of its start
-    bool cut = false;  // from the store
+    bool running = false;
+    Time due{};  // of its next call to the store, or of its start
+    bool store_unreachable = false;  // from the store
     SlackShare share{kWindow};
     RetryBudget budget{{.ratio = 0, .slack = kSlack, .window = kWindow}};
-    bool stands = false;
+    bool has_entry = false;
   };
 
-  std::size_t Draw(std::size_t most) { return random_() % (most + 1); }
+  std::size_t Random(std::size_t most) { return random_() % (most + 1); }
 
   void Start(Daemon& daemon) {
     daemon = {};
-    daemon.due = now_ + milliseconds(200) * Draw(40);
+    daemon.due = now_ + milliseconds(200) * Random(40);
   }
 
   void StepDaemon(std::size_t i) {
     Daemon& it = daemons_[i];
-    if (now_ >= it.due && !it.cut) CallStore(i);
-    if (!it.lives) return;
+    if (now_ >= it.due && !it.store_unreachable) CallStore(i);
+    if (!it.running) return;
     // Some hear all others, some nobody.
-    it.share.RecordDaemonCount(now_, Draw(1) == 0 ? 1 : it.stands ? known_ : 1);
-    const bool told = !it.cut && Draw(4) == 0;
-    if (told) TellCount(it);
-    const double part = it.share.FractionAt(now_);
-    while (it.budget.ReserveRetry(now_, part) &&
-           it.budget.CommitRetry(now_, part)) {
+    it.share.RecordDaemonCount(now_, Random(1) == 0 ? 1
+                                     : it.has_entry ? delivered_count_
+                                                    : 1);
+    const bool count_arrives = !it.store_unreachable && Random(4) == 0;
+    if (count_arrives) DeliverCount(it);
+    const double fraction = it.share.FractionAt(now_);
+    while (it.budget.ReserveRetry(now_, fraction) &&
+           it.budget.CommitRetry(now_, fraction)) {
       sent_.push_back(now_);
     }
   }
 
   void CallStore(std::size_t i) {
     Daemon& it = daemons_[i];
-    it.lives = true;
+    it.running = true;
     it.due = now_ + seconds(6);
-    const bool there = entries_.contains(i);
-    entries_[i] = now_ + kTtl;
-    it.share.OnEntryConfirmed(now_, now_ + kTtl, !it.stands || !there);
-    it.stands = true;
+    const bool still_listed = entries_.contains(i);
+    entries_[i] = now_ + kEntryTtl;
+    it.share.OnEntryConfirmed(now_, now_ + kEntryTtl,
+                              !it.has_entry || !still_listed);
+    it.has_entry = true;
   }
 
   // As it was up to 6.8 s ago.
-  void TellCount(Daemon& daemon) {
-    const std::size_t back = std::min(Draw(34), counts_.size());
-    if (back == 0) return;
-    known_ = counts_[counts_.size() - back];
-    daemon.share.OnDaemonsCounted(now_ - kStep * back);
-    daemon.share.RecordDaemonCount(now_, known_);
+  void DeliverCount(Daemon& daemon) {
+    const std::size_t steps_back = std::min(Random(34), counts_.size());
+    if (steps_back == 0) return;
+    delivered_count_ = counts_[counts_.size() - steps_back];
+    daemon.share.OnDaemonsCounted(now_ - kStep * steps_back);
+    daemon.share.RecordDaemonCount(now_, delivered_count_);
   }
 
-  void Trouble() {
-    constexpr std::size_t kRare = 60;
-    if (Draw(kRare) != 0) return;
-    const std::size_t kind = Draw(3);
+  void InjectFault() {
+    constexpr std::size_t kStepsPerFault = 60;
+    if (Random(kStepsPerFault) != 0) return;
+    const std::size_t kind = Random(3);
     for (Daemon& it : daemons_) {
-      if (Draw(1) == 0) continue;
+      if (Random(1) == 0) continue;
       if (kind <= 1) Start(it);  // killed
-      if (kind == 2) it.cut = true;
-      if (kind == 3) it.cut = false;
+      if (kind == 2) it.store_unreachable = true;
+      if (kind == 3) it.store_unreachable = false;
     }
   }
 
@@ -167,24 +170,24 @@
   std::vector<Daemon> daemons_;
   std::map<std::size_t, Time> entries_;  // until when
   std::vector<std::size_t> counts_;      // of entries, by step
-  std::size_t known_ = 1;
+  std::size_t delivered_count_ = 1;
   std::deque<Time> sent_;
 };
 
 TEST_CASE("All parts together are one whole at most, whatever happens") {
   std::size_t most = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    DrawnFleet fleet(seed, 3 + seed % 60);
+    RandomFleet fleet(seed, 3 + seed % 60);
     for (int step = 0; step < 900; ++step) {
       fleet.Step();
       const std::size_t n = fleet.InWindow();
       INFO("seed " << seed << ", step " << step);
-      REQUIRE(static_cast<double>(n) <= DrawnFleet::kSlack);
+      REQUIRE(static_cast<double>(n) <= RandomFleet::kSlack);
       most = std::max(most, n);
     }
   }
   // It is used, too.
-  CHECK(static_cast<double>(most) > 0.7 * DrawnFleet::kSlack);
+  CHECK(static_cast<double>(most) > 0.7 * RandomFleet::kSlack);
 }
 
 }  // namespace
