--- a/serving/src/endings.cc
+++ b/serving/src/endings.cc
@@ -6,18 +6,21 @@
 #include "internal/pool.h"
 #include "internal/steps.h"
 
-// Requests under which backend servers end. What an end teaches is noted for
-// the content of each request that was there, told to all daemons and kept in
-// the store, as the next copy comes under a new id, at any daemon.
+// Handling of requests that crash backend servers. A crash is recorded for the
+// fingerprint of each request that ran at the server, published to all daemons
+// and kept in the store, because the client's next attempt arrives under a new
+// id and at any daemon.
 namespace scaleshed::serving::internal {
 namespace {
 
-// A request under which a server ended before waits for so long to learn
-// whether this one has ended too, which takes 50 to 70 ms; others are sent on
-// at once.
+// How long a request whose fingerprint has crashed a server before waits for
+// the result of a crash check, which takes 50 to 70 ms. Other requests are
+// retried immediately.
 constexpr Duration kCrashCheckTimeout = milliseconds(200);
-// A server that lives says so within some milliseconds: most answers that break
-// off are of such, and nothing is held against the request then.
+// How long a request waits for the first probe result after an interrupted
+// response. Most interrupted responses come from servers that still run; such a
+// server responds to the probe within some milliseconds, and the request isn't
+// crash-suspected then.
 constexpr Duration kLivenessSignalTimeout = milliseconds(15);
 
 void LogCrash(State& state, std::uint64_t fingerprint, BackendId incarnation,
@@ -37,7 +40,7 @@
 void ApplyCrash(State& state, const Crash& crash, const std::string& source) {
   if (!state.quarantine.AddCrash(crash, state.now)) return;
   state.has_unpublished_changes = true;
-  // Of many daemons the others hear it of the hubs.
+  // In a large fleet, hubs pass on the crashes that other daemons publish.
   state.has_unpublished_crashes =
       state.has_unpublished_crashes || source.empty() ||
       (state.dispatch.is_hub && !state.dispatch.place_locally);
@@ -52,14 +55,15 @@
   LogCrash(state, crash.fingerprint, crash.incarnation, source);
 }
 
-// What is known of a backend server for a request that has to go alone, or to
-// where all copies of it go.
+// A backend server as a target for a request that is to run alone, or at the
+// same server as the other requests with its fingerprint.
 struct Candidate {
   const Backend* backend = nullptr;
-  std::uint64_t rank = 0;  // the same at all daemons
+  std::uint64_t rank = 0;  // order of preference, the same at all daemons
   std::int64_t active_requests = 0;
-  std::int64_t same_fingerprint = 0;  // of these, copies
-  bool avoided = false;
+  std::int64_t same_fingerprint =
+      0;                 // active requests with the demand's fingerprint
+  bool avoided = false;  // suspected, or excluded for this request
 };
 
 std::vector<Candidate> FindCandidates(
@@ -93,7 +97,8 @@
   return !it.avoided && it.active_requests < it.backend->server.slots;
 }
 
-// Whether another daemon asks right now if one more has ended under it.
+// Whether another daemon currently checks if a further server has crashed while
+// it ran a request with this fingerprint.
 bool IsCheckedByPeer(const State& state, std::uint64_t fingerprint) {
   return std::any_of(
       state.members.begin(), state.members.end(), [&](const auto& it) {
@@ -105,8 +110,8 @@
       });
 }
 
-// Of how many attempts that broke off this daemon asks right now if servers
-// ended under them.
+// Number of interrupted attempts with this fingerprint for which this daemon
+// currently checks whether their servers have crashed.
 std::size_t CountLocalChecks(const State& state, std::uint64_t fingerprint) {
   std::set<AttemptId> attempts;
   for (const auto& [incarnation, check] : state.liveness_checks) {
@@ -194,14 +199,15 @@
   return {fingerprints.begin(), fingerprints.end()};
 }
 
-// Copies that come together at several daemons are not to end a server each:
-// they go where one is in work. How much more is done depends on what is known
-// against the content:
-//   - one server ended, or may have: most end by themselves. A short one goes
-//   to
-//     a server with nothing else where there is one; a long one keeps its turn
-//     and its helpers, one copy at a time.
-//   - more: it goes alone, whatever that costs it.
+// Requests with the same fingerprint that arrive at several daemons together
+// must not crash a server each, so they go to the server that already runs one.
+// Further isolation depends on the crashes known of the fingerprint:
+//   - One server has crashed or may have. Most crashes have another cause, so a
+//     short prompt goes to an idle server if there is one, and a long prompt
+//     keeps its queue position and its prefill helpers but runs only one at a
+//     time.
+//   - More servers have crashed. The request runs alone, even if it is late
+//     because of that.
 Isolation FindIsolation(const State& state, const PlacementDemand& demand,
                         const std::vector<const Backend*>& open) {
   if (demand.fingerprint == 0) return {};
@@ -210,7 +216,7 @@
       demand.crash_suspected || IsCrashSuspected(state, demand.fingerprint);
   const bool is_long = demand.prefill_time > kShortPromptPrefillLimit;
   const bool is_plain = demand.prefill_time == Duration::zero();
-  // Two long ones at one engine would be late for nothing.
+  // Two long prompts at one engine would delay each other without need.
   if (!suspected && (is_long || is_plain)) return {};
   const auto active_requests = AllActiveRequests(state);
   const bool any_same_fingerprint =
--- a/serving/src/life_checks.cc
+++ b/serving/src/life_checks.cc
@@ -5,18 +5,23 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// An answer that breaks off says too little: connections are reset and streams
-// spoiled at backend servers that live on. One that has ended refuses each new
-// connection until another life begins, which takes a second and more; one that
-// is full may refuse one now and then.
+// Refused connections in a row from which a backend incarnation counts as
+// ended. An interrupted response doesn't suffice, since connections are reset
+// and streams corrupted at servers that still run. A server whose process has
+// ended refuses each new connection until the next incarnation starts, which
+// takes a second or more; a server that is full may refuse a single one now and
+// then.
 constexpr int kRefusalsUntilEnded = 2;
 constexpr Duration kRefusedProbeInterval = milliseconds(50);
-// Where nothing was seen, a packet may have been lost.
+// Interval after a probe without a result: a packet of it may have been lost.
 constexpr Duration kInconclusiveProbeInterval = milliseconds(150);
 constexpr Duration kLivenessCheckTimeout = seconds(2);
-// What it sent before its end may still be on its way so long after.
+// Data that a server sent before its process ended may still arrive this long
+// after, so data received within this time doesn't show that the server runs.
 constexpr Duration kMaxInFlightDelay = milliseconds(30);
-// Sends that were cut by one end are seen to be within moments.
+// How long an ended incarnation is remembered, so that its further interrupted
+// requests count as crashes without another probe. All requests that one crash
+// interrupts fail within moments of each other.
 constexpr Duration kEndedIncarnationRetention = seconds(20);
 
 void SendProbe(State& state, BackendId incarnation, LivenessCheck& check) {
@@ -84,10 +89,11 @@
     EndIncarnation(state, event.backend);
   } else {
     state.liveness_checks.erase(it);
-    // Others wait for it too.
+    // Other daemons hold back requests until this check ends, so its end has to
+    // be published.
     state.has_unpublished_changes = true;
   }
-  // Some wait for this.
+  // Requests with the checked fingerprints wait for the result of the check.
   StartWaitingRequests(state);
 }
 
--- a/serving/src/quarantine.cc
+++ b/serving/src/quarantine.cc
@@ -9,15 +9,18 @@
 namespace scaleshed::serving {
 namespace {
 
-// Each whole snapshot within this carries what is new: several, of which some
-// may be lost.
+// How long a crash is part of each full snapshot. Several are sent within this
+// time, since some of them may be lost.
 constexpr Duration kPublishDuration = seconds(3);
-// So do the partial ones between them within this: many follow each other.
+// How long a crash is part of each incremental snapshot. Shorter than
+// kPublishDuration, since incremental snapshots may follow each other quickly
+// and would repeat the same crashes.
 constexpr Duration kIncrementalPublishDuration = milliseconds(200);
-// In one message, of 18 bytes each. What ended together with one that had 16
-// requests is told whole.
+// Limits the size of a message at 18 bytes per crash. All crashes of a server
+// that ended while it ran 16 requests fit into one message.
 constexpr std::size_t kMaxCrashesPerMessage = 64;
-// Longer than news are told and late writes of the store may take together.
+// Longer than the publishing of a crash and a late write to the store take
+// together: erased earlier, a cleared crash could be counted again.
 constexpr Duration kClearedRetention = seconds(30);
 
 std::uint64_t HashOf(std::uint64_t fingerprint, BackendId incarnation) {
@@ -122,8 +125,8 @@
   for (const BackendId it : now_stored) {
     AddCrash({.fingerprint = stored.fingerprint, .incarnation = it}, now);
   }
-  // Whoever took them away knew that they don't count: by a whole answer, or as
-  // an operator.
+  // Crashes are removed from the store only when they are known not to count:
+  // by a daemon after a complete response, or by an operator.
   for (const BackendId it : stored_before) {
     if (restored) break;
     const Crash cleared{
@@ -136,7 +139,8 @@
 
 void Quarantine::AdoptEpoch(std::uint64_t epoch) {
   for (auto& [fingerprint, record] : records_) {
-    // Its number there is not known: any that is told is later.
+    // The entry's revision number in the new epoch is unknown. Zero makes any
+    // revision that arrives from that epoch count as newer.
     if (record.revision.epoch < epoch) record.revision = {.epoch = epoch};
   }
 }
--- a/serving/src/repeat_budget.cc
+++ b/serving/src/repeat_budget.cc
@@ -3,14 +3,15 @@
 namespace scaleshed::serving {
 namespace {
 
-// Of the ratio. A repeat goes back to requests of a whole window before it, so
-// those of one window may go back to the requests of two: where a daemon is
-// killed and comes back, or callers move to others, each request counts for
-// somebody. The bound allows the ratio of one window's requests, so half of it
-// holds whatever lives and dies.
+// Fraction of the configured ratio that a daemon uses for its own requests. A
+// retry is allowed by requests of the whole window before it, so the retries of
+// one window may rest on the requests of two windows: if a daemon is killed and
+// restarted, or clients move to other daemons, the requests of both windows
+// count for some daemon. The bound allows only the ratio of one window's
+// requests, and half of the ratio keeps to it in each of these cases.
 constexpr double kRatioFraction = 0.5;
-// Of the slack: repeats are counted where they arrive, a little later than
-// here.
+// Fraction of its slack share that a daemon uses. Retries are counted where
+// they arrive, a little later than here, so a window there may hold some more.
 constexpr double kSlackFraction = 0.9;
 
 }  // namespace
--- a/serving/src/repeats.cc
+++ b/serving/src/repeats.cc
@@ -6,7 +6,7 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// A send after one that may have run needs at least so much time.
+// A retry isn't sent if less time than this remains before the deadline.
 constexpr Duration kMinTimeForRetry = milliseconds(50);
 
 RetryBudget& BudgetOf(State& state, const Request& request) {
--- a/serving/src/slack_share.cc
+++ b/serving/src/slack_share.cc
@@ -5,10 +5,11 @@
 namespace scaleshed::serving {
 namespace {
 
-// How old the store's number of daemons may be, and so how long a newcomer
-// waits for all others to know of it. An asker's watch is answered after 4 s at
-// the latest, and told with its next proof, at most 1.35 s later where news may
-// take 3 s; what a receiver takes for the age is half a second more.
+// Greatest allowed age of the store's number of daemons, and therefore also how
+// long a new daemon waits until all others know of it. A store poller's watch
+// is answered after at most 4 s and relayed with the poller's next freshness
+// confirmation, at most 1.35 s later with a propagation limit of 3 s; a
+// receiver takes the age for up to half a second more.
 constexpr Duration kMaxDaemonCountAge = seconds(7);
 
 }  // namespace
