--- a/serving/src/admission.cc
+++ b/serving/src/admission.cc
@@ -14,20 +14,24 @@
 constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-// After a refusal that another daemon would not give: clients go there at once.
+// Retry-After of a refusal if another daemon serves: the client is to go there
+// immediately.
 constexpr Duration kRetryAfterOtherDaemonServes = milliseconds(50);
-// After one that all daemons would give now.
+// Retry-After of a refusal that all daemons would give now.
 constexpr Duration kRetryAfterNoDaemonServes = milliseconds(300);
-// A daemon that has just started has its first configuration and list within
-// some 100 ms (1,500 routes on 20 Mbit/s: 80 to 230 ms). Clients that come
-// before wait for so long: a refusal would cost them one of few tries, and the
-// daemons that they turn to have often just started too.
+// How long an early request waits for the first configuration and backend list,
+// which arrive some 100 ms after the start (80 to 230 ms for 1,500 routes at
+// 20 Mbit/s). A refusal would cost the client one of its few tries, and the
+// daemon that it tries next has often just started too.
 constexpr Duration kEarlyRequestTimeout = milliseconds(400);
-// More are refused at once: their bodies are kept in memory meanwhile.
+// Further early requests are refused immediately, since their bodies are kept
+// in memory while they wait.
 constexpr std::size_t kMaxEarlyRequests = 256;
-// Streams that come so long after the request to stop could not end in time.
+// Streams that arrive later than this after the request to stop are refused:
+// they couldn't end before the daemon exits.
 constexpr Duration kStreamsAcceptedWhileStopping = milliseconds(2500);
-// A request without a time limit gets its route's; without a route's, this.
+// Timeout of a request without one of its own. The route's timeout, if shorter,
+// takes precedence.
 constexpr Duration kDefaultTimeout = seconds(10);
 
 int StatusOf(Refusal reason, bool may_have_run) {
@@ -44,12 +48,12 @@
     case Refusal::kTimeLimit:
       return may_have_run ? kGatewayTimeout : kServiceUnavailable;
     default:
-      // 503 is a promise that nothing ran.
+      // Status 503 promises the client that the request didn't run.
       return may_have_run ? kBadGateway : kServiceUnavailable;
   }
 }
 
-// One of the route's services, by their weights.
+// Picks one of the route's services at random, in proportion to their weights.
 std::string PickService(State& state, const Route& route) {
   std::int64_t total_weight = 0;
   for (const ServiceShare& it : route.shares) total_weight += it.weight;
@@ -71,14 +75,15 @@
   RefuseRequest(state, request, reason, retry_after);
 }
 
-// The account that the request's key belongs to; nothing if there is none.
+// Returns the client account that the request's key belongs to, or nullptr if
+// the request doesn't have exactly one key or no account has this key.
 const ClientAccount* AccountOf(const State& state,
                                const RequestMetadata& metadata) {
   if (metadata.keys.size() != 1) return nullptr;
   return state.configuration->FindAccount(metadata.keys.front());
 }
 
-// When to come back after a refusal that is due to what this daemon knows.
+// Retry-After of a refusal that is due to outdated state of this daemon.
 Duration RetryAfterForStaleState(const State& state) {
   const bool other_serves = std::any_of(
       state.members.begin(), state.members.end(), [&](const auto& it) {
@@ -88,7 +93,9 @@
                       : kRetryAfterNoDaemonServes;
 }
 
-// Refuses what can't be taken whatever the load. True if it did.
+// Refuses a request that can't be served whatever the load: state that is
+// missing or outdated, an unknown route, an unknown key. Returns true if it
+// did; else `route`, and for a route that needs a key `account`, are set.
 bool RefuseIfNotServable(State& state, const RequestArrived& event,
                          const Route*& route, const ClientAccount*& account) {
   if (!state.configuration) {
@@ -99,8 +106,8 @@
   const RequestMetadata& metadata = event.metadata;
   route = state.configuration->FindRoute(metadata.host, metadata.path);
   const bool fresh = IsFresh(state);
-  // What an old configuration knows, or doesn't, may be otherwise in the
-  // newest.
+  // The newest configuration may have another route, or one where this
+  // configuration has none.
   if (!IsConfigurationUsable(state) || (route == nullptr && !fresh)) {
     RefuseImmediately(state, event, Refusal::kConfigurationStale,
                       RetryAfterForStaleState(state));
@@ -110,7 +117,7 @@
     RefuseImmediately(state, event, Refusal::kUnknownRoute, Duration::zero());
     return true;
   }
-  // A backend server may have left since.
+  // A listed backend server may be gone by now.
   if (!AreBackendsUsable(state)) {
     RefuseImmediately(state, event, Refusal::kBackendListStale,
                       RetryAfterForStaleState(state));
@@ -132,7 +139,8 @@
   return false;
 }
 
-// Whether this daemon has yet to hear for the first time what is in force.
+// Whether this daemon has just started and its state has not yet been confirmed
+// as the store's newest.
 bool AwaitsFirstConfiguration(const State& state) {
   return IsWarmingUp(state) && !state.stop_at &&
          StoreConfirmedAt(state) == Time{};
@@ -274,7 +282,7 @@
 
 void EraseRequest(State& state, RequestKey key) {
   const auto it = state.requests.find(key);
-  // Refused before it was taken.
+  // Requests that are refused on arrival are never stored.
   if (it == state.requests.end()) return;
   ReleaseRetry(state, it->second);
   state.requests.erase(it);
--- a/serving/src/attempts.cc
+++ b/serving/src/attempts.cc
@@ -7,12 +7,14 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// Between two events of a stream, before another backend server is asked to go
-// on: this multiple of the longest pause that keeps it in time, and not less
-// than a dead backend server's requests stand still in the worst case.
+// A stream counts as stalled, and is resumed at another backend server, if no
+// event arrives for kMaxEventGapFactor times the route's greatest allowed event
+// gap, or kMinStallTimeout if that is longer: the requests of a dead backend
+// server stand still for that long in the worst case.
 constexpr int kMaxEventGapFactor = 5;
 constexpr Duration kMinStallTimeout = milliseconds(1000);
-// The backend server's own word at the deadline is waited for so long.
+// How long after the deadline a running request still waits for the backend
+// server's own response to the timeout.
 constexpr Duration kResponseGracePeriod = milliseconds(100);
 
 Request* RequestOf(State& state, AttemptId attempt) {
@@ -22,7 +24,7 @@
 }
 
 bool StatusMeansNotRun(int status) {
-  // Statuses by which clients are told that nothing ran.
+  // These statuses tell the client that the request didn't run.
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
@@ -63,7 +65,8 @@
   TryStart(state, request);
 }
 
-// The send may have run and brought no whole answer.
+// Handles an attempt that may have run but brought no complete response: reruns
+// the request if it may, else fails it.
 void HandleLostAttempt(State& state, Request& request,
                        const std::string& reason) {
   request.may_have_run = true;
@@ -87,7 +90,8 @@
   RefuseRequest(state, request, Refusal::kUnknown, {});
 }
 
-// The send did not run.
+// Handles an attempt that didn't run: retries the request if the retry budget
+// allows it, else refuses the request.
 void HandleDeclinedAttempt(State& state, Request& request) {
   --request.possible_runs;
   ++request.declined_sends;
@@ -110,8 +114,8 @@
     return;
   }
   if (StatusMeansNotRun(event.status)) {
-    // The backend server does not say that it did not run it, and this status
-    // would.
+    // The status would tell the client that the request didn't run, which the
+    // backend server hasn't said.
     RefuseRequest(state, request, Refusal::kUnknown, {});
     return;
   }
@@ -232,14 +236,15 @@
 
 void FailAttemptsAt(State& state, BackendId incarnation) {
   EndIncarnation(state, incarnation);
-  // News of the new life may have taken so long: what was sent since may be in
-  // work there.
+  // The listing of the new incarnation may have taken this long to arrive, so
+  // requests sent since then may be running at the new incarnation.
   const Time sent_before = state.now - state.options.propagation_limit;
   std::vector<RequestKey> lost;
   for (auto& [key, request] : state.requests) {
     const auto& helpers = request.active_request.helpers;
     for (std::size_t i = 0; i < request.memory_reservations.size(); ++i) {
-      // Renewed, it would be set aside anew at one who knows nothing of it.
+      // If the reservation were renewed, the new incarnation, which doesn't
+      // know it, would reserve memory for it.
       if (helpers[i] == incarnation)
         request.memory_reservations[i].reservation_id.clear();
     }
@@ -251,8 +256,9 @@
       lost.push_back(key);
       continue;
     }
-    // One that may not be repeated is left to its connection: taken for lost by
-    // mistake it would be cut off at work, and nothing is won.
+    // A request that must not run again is left to its connection: if it were
+    // failed by mistake, it would be aborted while it runs, and nothing would
+    // be gained.
     const bool may_retry = MayRunAgain(request.route.kind) &&
                            request.backend_alive_at < sent_before;
     if (request.phase == Phase::kRunning && is_assigned && may_retry)
