--- a/serving/test/deadly_requests_test.cc
+++ b/serving/test/deadly_requests_test.cc
@@ -1,9 +1,9 @@
-// A request ended each backend server that began to run it, 33 and 50 of them
-// in some 20 s, and each ended what others had in work there. It came again
-// under new ids, at any daemon, and each sent it on to a second server when the
-// first had ended. The logs, once they named contents, showed the same one at
-// every end, at all daemons: what an end teaches was noted for the server
-// alone, and of the request it went with the one send.
+// Guards against poison requests, which crash each backend server that runs
+// them, and with it all other requests there: 33 and 50 servers in some 20 s.
+// The client retries under new ids and at any daemon, and a daemon retries at a
+// second server after the first has crashed, so crashes have to be recorded for
+// the request's fingerprint and shared by all daemons, not kept for the server
+// and the single attempt.
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -15,23 +15,27 @@
 namespace {
 
 constexpr std::uint64_t kPoison = 77;
-// So long after the third end none may leave any more (`contact_ms`).
+// A poison request must not be sent any more once this long has passed since
+// the third crash: by then all daemons know of it.
 constexpr Duration kPropagationTime = seconds(3);
 
+// What became of a load of poison requests and innocent ones.
 struct LoadResult {
   std::size_t crashes = 0;
-  std::size_t late_sends =
-      0;  // sends of the deadly one after the third and kContact
+  // Sends of a poison request later than kPropagationTime after the third
+  // crash.
+  std::size_t late_sends = 0;
   std::size_t innocent = 0;
   std::size_t answered = 0;
 };
 
-// Copies come at drawn daemons, one each `gap`, and beside them others. `at` is
-// called at each step.
+// Sends `poison_requests` requests with one fingerprint to random daemons, one
+// every `gap`, and innocent requests besides. Calls `at_each_step` at each
+// step.
 LoadResult RunLoad(
     SimulatedFleetOptions options, Duration gap, int poison_requests,
     const std::function<void(SimulatedFleet&)>& at_each_step =
-        [](SimulatedFleet& /*hall*/) {}) {
+        [](SimulatedFleet& /*fleet*/) {}) {
   options.hold_slack_share = true;
   SimulatedFleet fleet(options);
   fleet.MakeCrashing(kPoison);
@@ -71,16 +75,16 @@
   return result;
 }
 
-TEST_CASE("What has ended three is sent to none, by any of few daemons") {
+TEST_CASE("A small fleet sends a request that crashed three servers no more") {
   const LoadResult result = RunLoad(
       {.daemons = 8, .data_centres = 3, .engines = 18}, milliseconds(60), 200);
   CHECK(result.late_sends == 0);
-  // Each copy at a server of its own would end as many as there are copies.
+  // Without isolation, each poison request would crash a server of its own.
   CHECK(result.crashes <= 3);
   CHECK(result.answered == result.innocent);
 }
 
-TEST_CASE("What has ended three is sent to none, by any of many daemons") {
+TEST_CASE("A medium fleet sends a request that crashed three servers no more") {
   const LoadResult result = RunLoad(
       {.daemons = 40, .data_centres = 4, .engines = 32}, milliseconds(60), 200);
   CHECK(result.late_sends == 0);
@@ -88,7 +92,7 @@
   CHECK(result.answered == result.innocent);
 }
 
-TEST_CASE("Copies that come together don't end a server each") {
+TEST_CASE("Poison requests that arrive together don't crash a server each") {
   const LoadResult result = RunLoad(
       {.daemons = 8, .data_centres = 3, .engines = 18}, milliseconds(5), 60);
   CHECK(result.late_sends == 0);
@@ -101,12 +105,14 @@
 
 constexpr SimulatedFleetOptions kSmallFleet{
     .daemons = 8, .data_centres = 3, .engines = 18};
-// From a server's end until all is noted: the verdict, the write, its way.
+// Time from a server's crash until it is recorded everywhere: the crash check,
+// the write to the store, and its propagation.
 constexpr Duration kRecordingTime = milliseconds(300);
 
-// Knowledge that only daemons have goes with them: with all of them killed
-// after each end, the request began anew each time.
-TEST_CASE("What has ended three is held though all daemons are killed") {
+// Crashes that only daemons know are lost with them: if all daemons are killed
+// after each crash and the store doesn't keep them, counting starts again at
+// zero each time.
+TEST_CASE("A poison request stays quarantined after a kill of all daemons") {
   std::size_t crashes = 0;
   Time kill = Time::max();
   const LoadResult result =
@@ -121,9 +127,11 @@
   CHECK(result.late_sends == 0);
 }
 
-// An end is not known for the first moments after it. Daemons that are killed
-// in these can't tell of it; a copy each may follow, and no more.
-TEST_CASE("Kills of all at drawn moments let few copies through") {
+// A crash is unknown for the first moments after it. If all daemons are killed
+// in these moments, the crash is lost; each such kill may let one more poison
+// request through, and no more than that.
+TEST_CASE(
+    "Kills of all daemons at random times let few poison requests through") {
   for (const unsigned seed : {1, 2, 3, 4, 5, 6, 7, 8}) {
     std::mt19937 random(seed);
     int kills = 3;
@@ -142,7 +150,7 @@
   }
 }
 
-TEST_CASE("A store that is away for a while is told when it is back") {
+TEST_CASE("Crashes are stored once an unreachable store is back") {
   Time started_at{};
   bool restarted = false;
   const LoadResult result =
@@ -157,7 +165,7 @@
   CHECK(result.late_sends == 0);
 }
 
-TEST_CASE("A daemon that starts late, and one that heard nothing, send none") {
+TEST_CASE("Daemons that restart send a quarantined request no more") {
   int restarts = 0;
   const LoadResult result =
       RunLoad(kSmallFleet, milliseconds(60), 200, [&](SimulatedFleet& fleet) {
@@ -167,9 +175,9 @@
   CHECK(result.late_sends == 0);
 }
 
-// Requests that end nothing are not to be held for having been there: an answer
-// forgives, in the store too.
-TEST_CASE("What ended by itself leaves no trace once the others are answered") {
+// Innocent requests that ran at a crashed server must not be quarantined for
+// it: a successful response clears them, in the store too.
+TEST_CASE("Crashes of innocent requests are cleared once they are answered") {
   SimulatedFleetOptions options = kSmallFleet;
   options.hold_slack_share = true;
   SimulatedFleet fleet(options);
@@ -181,7 +189,8 @@
   CHECK(fleet.crash_times().size() <= 2);
   CHECK(fleet.stored().size() == 1);
   CHECK(fleet.state(3).quarantine.size() == 1);
-  // Two ends and what was forgiven after each: not a write for each daemon.
+  // Two crashes and a clearing after each make four writes, made once and not
+  // by each daemon.
   CHECK(fleet.saves() <= 4);
 }
 
--- a/serving/test/early_requests_test.cc
+++ b/serving/test/early_requests_test.cc
@@ -1,7 +1,7 @@
-// The load of a mass restart: half of the daemons are killed and come back at
-// once, their clients' second tries reach daemons that have just started, and
-// each of these needs 80 to 230 ms for a configuration of 1,500 routes. A
-// refusal there used up the last try of one request in forty of the day.
+// Guards against refusals by daemons that have just started. After half of the
+// daemons are killed and restarted together, clients retry at daemons that need
+// 80 to 230 ms until they have a configuration of 1,500 routes. Refusals during
+// that time used up the last try of one request in forty.
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 using test::kStart;
 using test::MakeConfiguration;
 
-// A daemon that has just started.
+// A daemon that has just started and knows nothing of the store yet.
 class StartingDaemon {
  public:
   StartingDaemon()
@@ -33,7 +33,8 @@
                                             .keys = {"k"},
                                             .deadline = seconds(4)}});
   }
-  // What the store holds, as it was so long after the start.
+  // Feeds the store's configuration and backend list, queried `since` after the
+  // start.
   Effects ReceiveStoreState(Duration since) {
     Feed(since, ConfigurationReceived{.configuration = MakeConfiguration(1),
                                       .queried_at = kStart + since});
@@ -57,33 +58,33 @@
   return n;
 }
 
-TEST_CASE("What comes just after a start waits for the first configuration") {
+TEST_CASE("Early requests wait for the first configuration") {
   StartingDaemon daemon;
   for (RequestKey key = 1; key <= 3; ++key) {
     CHECK(CountOf<Refuse>(daemon.SendRequest(milliseconds(20), key)) == 0);
   }
   CHECK(CountOf<StartAttempt>(daemon.ReceiveStoreState(milliseconds(200))) ==
         3);
-  // Its time counts from when it came.
+  // Its deadline and objective count from its arrival.
   const Request& request = daemon.state().requests.at(1);
   CHECK(request.arrived == kStart + milliseconds(20));
   CHECK(request.due == request.arrived + request.route.objective);
   CHECK(request.deadline == request.arrived + seconds(4));
 }
 
-TEST_CASE("It waits no longer than that usually takes") {
+TEST_CASE("An early request is refused after its timeout") {
   StartingDaemon daemon;
   daemon.SendRequest(milliseconds(20), 1);
   CHECK(CountOf<Refuse>(daemon.Feed(milliseconds(400), Tick{})) == 0);
   CHECK(CountOf<Refuse>(daemon.Feed(milliseconds(425), Tick{})) == 1);
 }
 
-TEST_CASE("A daemon that has found no store refuses at once") {
+TEST_CASE("A daemon without a configuration refuses at once after warming up") {
   StartingDaemon daemon;
   CHECK(CountOf<Refuse>(daemon.SendRequest(milliseconds(1001), 1)) == 1);
 }
 
-TEST_CASE("No more wait than memory is meant for") {
+TEST_CASE("The number of waiting early requests is limited") {
   StartingDaemon daemon;
   int refused = 0;
   for (RequestKey key = 1; key <= 300; ++key) {
@@ -92,7 +93,7 @@
   CHECK(refused == 300 - 256);
 }
 
-TEST_CASE("Whoever leaves meanwhile is forgotten") {
+TEST_CASE("An early request whose client disconnects is dropped") {
   StartingDaemon daemon;
   daemon.SendRequest(milliseconds(20), 1);
   daemon.Feed(milliseconds(30), ClientDisconnected{.key = 1});
--- a/serving/test/fleet_repeats_test.cc
+++ b/serving/test/fleet_repeats_test.cc
@@ -1,6 +1,6 @@
-// Services got more repeats than allowed from all daemons together. Three ways
-// in which the sum went over the bound, each here without a network; the first
-// two were seen on processes (soak_test), the third was found by reading.
+// Guards against more retries to a service, from all daemons together, than the
+// retry budget allows within a window. Checks one daemon without a network; the
+// soak test checks the sum over real processes.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -17,7 +17,7 @@
 constexpr Duration kWindow = seconds(3);
 constexpr double kSlack = 30;
 
-// One daemon before one plain backend server that declines everything.
+// One daemon in front of one plain backend server that declines each request.
 class DaemonOfDecliningServer {
  public:
   DaemonOfDecliningServer()
@@ -36,7 +36,7 @@
                         .queried_at = now_});
   }
 
-  // Everything it knows of the store is the newest, or may be old.
+  // Confirms that all the daemon knows of the store is the newest.
   void ConfirmStore() {
     Feed(ConfigurationConfirmed{.revision = {.number = 1}, .queried_at = now_});
     Feed(BackendsConfirmed{.queried_at = now_});
@@ -46,7 +46,7 @@
     while (now_ < until) {
       now_ += milliseconds(10);
       if (confirmed) ConfirmStore();
-      // The store speaks, so that what is old isn't gone by.
+      // The store responds, so the daemon doesn't go on with unconfirmed state.
       Feed(StoreResponded{});
       Feed(Tick{});
     }
@@ -60,7 +60,7 @@
                                      .keys = {"k"},
                                      .deadline = seconds(15)}});
   }
-  // The first of those underway.
+  // Declines the oldest `n` active attempts.
   void Decline(std::size_t n) {
     n = std::min(n, active_attempts_.size());
     const std::vector<AttemptId> declined(
@@ -74,7 +74,7 @@
           .attempt = it, .kind = AnswerKind::kNotRun, .status = 503});
     }
   }
-  // Sends so far, of which those after each request's first.
+  // Times of all sends but the first of each request.
   const std::vector<Time>& retries() const { return retries_; }
 
  private:
@@ -96,14 +96,16 @@
   std::vector<Time> retries_;
 };
 
-// A repeat was counted when it was decided. While what is known of the store is
-// too old nothing is sent, so that the repeats of several windows wait, and
-// they went out in one moment.
-TEST_CASE("Repeats that waited together keep to the window when they leave") {
+// While the state of the store isn't confirmed, nothing is sent, and the
+// retries of several windows wait. If a retry counts when it is decided on and
+// not when it is sent, all of them leave together and exceed the budget of one
+// window.
+TEST_CASE(
+    "Retries that waited together keep to the window's budget when sent") {
   DaemonOfDecliningServer daemon;
   daemon.ConfirmStore();
   for (int i = 0; i < 180; ++i) daemon.SendRequest();
-  // Declined one after another, while proofs are lacking.
+  // The requests are declined in groups while confirmations are missing.
   daemon.AdvanceTime(milliseconds(2500), false);
   for (int i = 0; i < 9; ++i) {
     daemon.Decline(20);
--- a/serving/test/innocent_requests_test.cc
+++ b/serving/test/innocent_requests_test.cc
@@ -1,22 +1,24 @@
-// Requests whose answers broke off at servers that live on were placed as if
-// they ended servers: long ones alone, without helpers, at whichever engine had
-// the fewest requests, or held until a copy had ended.
+// Guards against treating requests as crash-suspected because their responses
+// were interrupted at servers that still run. Long prompts were then placed
+// alone, without prefill helpers, at the engine with the fewest requests, or
+// waited until another request with their fingerprint had ended.
 
 #include "simulated_fleet_load.h"
 
 namespace scaleshed::serving::test {
 namespace {
 
+// What became of all requests of one load.
 struct LoadTotals {
   std::size_t sent = 0;
   std::size_t answered = 0;
   std::size_t long_sends = 0;  // of long prompts
-  std::size_t helpers = 0;     // of these together
+  std::size_t helpers = 0;     // prefill helpers of all long sends
 };
 
-// Long prompts, hot ones that are asked for again and again, and others, before
-// engines that reset two answers in five. `known`: what is asked for is told by
-// its content, by which doubts go.
+// Sends long prompts, a hot prompt that is sent again and again, and others to
+// engines that reset two responses in five. `with_fingerprints`: requests carry
+// fingerprints, which crash suspicion goes by.
 LoadTotals RunLoadWithResets(SimulatedFleetOptions options,
                              bool with_fingerprints) {
   options.hold_slack_share = true;
@@ -38,7 +40,7 @@
   };
   for (int step = 0; step < kSteps; ++step) {
     if (step % 100 == 0) {
-      // Each second one is about the same.
+      // Every second long prompt is the hot one.
       const std::uint64_t it = step % 200 == 0 ? kHotPrompt : ++next;
       long_prompts.push_back(fleet.SendPrompt(any_daemon(), kLongPrompt,
                                               seconds(10), fingerprint_of(it)));
@@ -67,7 +69,7 @@
 }
 
 std::string Describe(const LoadTotals& it) {
-  return "served " + std::to_string(it.answered) + " of " +
+  return "answered " + std::to_string(it.answered) + " of " +
          std::to_string(it.sent) + ", long sends " +
          std::to_string(it.long_sends) + ", their helpers " +
          std::to_string(it.helpers);
@@ -76,18 +78,20 @@
 void CheckSuspicionCostsNothing(const SimulatedFleetOptions& options) {
   const LoadTotals suspected = RunLoadWithResets(options, /*known=*/true);
   const LoadTotals unsuspected = RunLoadWithResets(options, /*known=*/false);
-  INFO("with contents: " << Describe(suspected));
-  INFO("without: " << Describe(unsuspected));
+  INFO("with fingerprints: " << Describe(suspected));
+  INFO("without fingerprints: " << Describe(unsuspected));
   CHECK(suspected.answered >= unsuspected.answered);
   CHECK(suspected.long_sends == unsuspected.long_sends);
   CHECK(suspected.helpers * 10 >= unsuspected.helpers * 9);
 }
 
-TEST_CASE("Long prompts cut by resets keep their helpers, with few daemons") {
+TEST_CASE(
+    "Long prompts interrupted by resets keep their helpers in a small fleet") {
   CheckSuspicionCostsNothing({.daemons = 8, .data_centres = 3, .engines = 18});
 }
 
-TEST_CASE("Long prompts cut by resets keep their helpers, with many daemons") {
+TEST_CASE(
+    "Long prompts interrupted by resets keep their helpers in a medium fleet") {
   CheckSuspicionCostsNothing({.daemons = 40, .data_centres = 4, .engines = 32});
 }
 
--- a/serving/test/life_checks_test.cc
+++ b/serving/test/life_checks_test.cc
@@ -5,7 +5,8 @@
 namespace scaleshed::serving::test {
 namespace {
 
-// The last line on a backend server that was asked, in effects.
+// Returns the outcome in the first log line about a finished liveness check, or
+// an empty text if the effects have none.
 std::string CheckOutcomeIn(const Effects& effects) {
   for (const Effect& it : effects) {
     const auto* line = std::get_if<LogDecision>(&it);
@@ -17,7 +18,7 @@
   return "";
 }
 
-// A send that was cut, and the backend server that it was at.
+// Interrupts a request and returns the backend server that it was sent to.
 BackendId InterruptAttempt(Daemon& daemon) {
   daemon.SendRequest("stream");
   const auto* sent = daemon.FirstEffect<StartAttempt>();
@@ -29,7 +30,7 @@
   return id;
 }
 
-TEST_CASE("One that refuses twice after an answer broke off has ended") {
+TEST_CASE("A server that refuses two probes after an interruption has ended") {
   Daemon daemon;
   const BackendId id = InterruptAttempt(daemon);
   daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
@@ -40,7 +41,7 @@
   CHECK(CheckOutcomeIn(daemon.effects()) == "over");
 }
 
-TEST_CASE("One that speaks after an answer broke off lives") {
+TEST_CASE("A server that responds to a probe after an interruption is alive") {
   Daemon daemon;
   const BackendId id = InterruptAttempt(daemon);
   daemon.Feed(LivenessProbed{.backend = id, .result = ProbeResult::kRefused});
@@ -49,12 +50,13 @@
   CHECK(CheckOutcomeIn(daemon.effects()) == "lives");
 }
 
-TEST_CASE("One that is full and goes on with other work lives") {
+TEST_CASE(
+    "A full server that refuses probes but serves its requests is alive") {
   Daemon daemon;
   const BackendId id = InterruptAttempt(daemon);
   daemon.AdvanceTime(milliseconds(40));
-  // Both the send made again and a new one may be at another one: what counts
-  // is that anything of this one comes.
+  // The retry and new requests may go to other servers, so requests are sent
+  // until one goes to the probed server and can receive an event from it.
   AttemptId attempt = 0;
   daemon.Observe([&](const Effects& effects) {
     for (const Effect& it : effects) {
@@ -76,7 +78,7 @@
 }
 
 TEST_CASE(
-    "One of which nothing is seen is asked for a while, and not counted") {
+    "A server without a probe result is probed for a while and not counted") {
   Daemon daemon;
   const BackendId id = InterruptAttempt(daemon);
   int probes = 0;
--- a/serving/test/quarantine_test.cc
+++ b/serving/test/quarantine_test.cc
@@ -9,7 +9,8 @@
 const Time kNow{seconds(1000)};
 constexpr std::uint64_t kFingerprint = 5;
 
-// What one daemon knows that saw so many ends.
+// Returns the quarantine of a daemon that saw `crashes` crashes of
+// kFingerprint.
 Quarantine WithCrashes(BackendId crashes) {
   Quarantine quarantine;
   for (BackendId i = 1; i <= crashes; ++i) {
@@ -18,7 +19,9 @@
   return quarantine;
 }
 
-TEST_CASE("Three lives that ended hold a content, one told thrice doesn't") {
+TEST_CASE(
+    "Three crashed incarnations quarantine a fingerprint, one reported thrice "
+    "doesn't") {
   Quarantine quarantine = WithCrashes(1);
   CHECK_FALSE(quarantine.AddCrash(
       {.fingerprint = kFingerprint, .incarnation = 1}, kNow));
@@ -30,19 +33,20 @@
   CHECK_FALSE(quarantine.IsQuarantined(kFingerprint + 1));
 }
 
-TEST_CASE("An end that was forgiven is not counted when it is told late") {
+TEST_CASE("A cleared crash isn't counted when it is reported late") {
   Quarantine quarantine = WithCrashes(2);
   quarantine.ClearFingerprint(kFingerprint, kNow);
   CHECK(quarantine.CrashCount(kFingerprint) == 0);
   CHECK_FALSE(quarantine.AddCrash(
       {.fingerprint = kFingerprint, .incarnation = 1}, kNow));
   CHECK(quarantine.CrashCount(kFingerprint) == 0);
-  // A later end counts.
+  // The crash of another incarnation counts.
   quarantine.AddCrash({.fingerprint = kFingerprint, .incarnation = 9}, kNow);
   CHECK(quarantine.CrashCount(kFingerprint) == 1);
 }
 
-TEST_CASE("News told in any order, twice or late make the same") {
+TEST_CASE(
+    "Crashes applied in any order, twice or late lead to the same counts") {
   std::mt19937_64 random(3);
   for (int run = 0; run < 200; ++run) {
     constexpr int kCrashCount = 12;
@@ -65,7 +69,8 @@
   }
 }
 
-TEST_CASE("The store is to hold what is known, under the revision it has") {
+TEST_CASE(
+    "Unsaved crashes are to be written under the store entry's revision") {
   Quarantine quarantine = WithCrashes(1);
   REQUIRE(quarantine.Unsaved(10).size() == 1);
   CHECK(quarantine.Unsaved(10).front().revision.number == 0);
@@ -78,7 +83,7 @@
   const StoredCrashes unsaved = quarantine.Unsaved(10).front();
   CHECK(unsaved.incarnations == std::vector<BackendId>{1, 2});
   CHECK(unsaved.revision.number == 20);
-  // Another daemon wrote first: both are to be there.
+  // Another daemon wrote first: the crashes of both are to be stored.
   quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1, 3},
                           .revision = {.number = 21}},
@@ -88,7 +93,8 @@
         std::vector<BackendId>{1, 2, 3});
 }
 
-TEST_CASE("What is taken out of the store is forgiven, what it never had not") {
+TEST_CASE(
+    "Crashes removed from the store are cleared, those never stored are not") {
   Quarantine quarantine = WithCrashes(2);
   quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1},
@@ -99,7 +105,7 @@
                           .revision = {.number = 21}},
                          kNow);
   CHECK(quarantine.CrashCount(kFingerprint) == 1);
-  // An older word of the store comes late.
+  // An older state of the store arrives late.
   quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1},
                           .revision = {.number = 20}},
@@ -107,7 +113,7 @@
   CHECK(quarantine.CrashCount(kFingerprint) == 1);
 }
 
-TEST_CASE("Those that know the same of the store have the same digest") {
+TEST_CASE("Equal knowledge of the store gives equal digests") {
   Quarantine one = WithCrashes(1);
   Quarantine other;
   const StoredCrashes stored{.fingerprint = kFingerprint,
@@ -124,7 +130,8 @@
   CHECK(one.digest() == Quarantine().digest());
 }
 
-TEST_CASE("News are told for some seconds, at most so many at a time") {
+TEST_CASE(
+    "Crashes are published for some seconds, a limited number at a time") {
   Quarantine quarantine;
   for (BackendId i = 0; i < 100; ++i) {
     quarantine.AddCrash({.fingerprint = i, .incarnation = 1}, kNow);
@@ -133,8 +140,9 @@
   CHECK(quarantine.RecentCrashes(kNow + seconds(4)).empty());
 }
 
-// Each snapshot of a change repeated all of them for seconds.
-TEST_CASE("The latest news are told for a moment") {
+// Guards against incremental snapshots that each repeat all crashes of the last
+// seconds.
+TEST_CASE("The latest crashes are in incremental snapshots for a moment only") {
   Quarantine quarantine;
   quarantine.AddCrash({.fingerprint = 1, .incarnation = 1}, kNow);
   quarantine.AddCrash({.fingerprint = 2, .incarnation = 1}, kNow + seconds(1));
@@ -147,8 +155,7 @@
 }
 
 TEST_CASE(
-    "Contents with too few ends are not written, and taken away all the "
-    "same") {
+    "Fingerprints with too few crashes are not written, but still removed") {
   Quarantine quarantine;
   quarantine.AddCrash({.fingerprint = 1, .incarnation = 1}, kNow);
   quarantine.AddCrash({.fingerprint = 2, .incarnation = 1}, kNow + seconds(1));
@@ -165,7 +172,9 @@
   CHECK(unsaved[1].incarnations.empty());
 }
 
-TEST_CASE("Of too many contents those with the fewest ends go first") {
+TEST_CASE(
+    "Of too many fingerprints those with the fewest crashes are cleared "
+    "first") {
   Quarantine quarantine = WithCrashes(3);
   for (std::uint64_t i = 0; i < Quarantine::kMaxFingerprints + 50; ++i) {
     quarantine.AddCrash({.fingerprint = 100 + i, .incarnation = 1},
@@ -177,8 +186,10 @@
   CHECK(quarantine.CrashCount(100 + Quarantine::kMaxFingerprints) == 1);
 }
 
-// A restore would have freed a request that ends servers.
-TEST_CASE("What a restored store lacks is written again, and not forgiven") {
+// A restore of the store from a backup must not end the quarantine of a poison
+// request.
+TEST_CASE(
+    "Crashes that a restored store lacks are written again and not cleared") {
   Quarantine quarantine = WithCrashes(3);
   quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1, 2, 3},
@@ -194,7 +205,7 @@
   REQUIRE(unsaved.size() == 1);
   CHECK(unsaved.front().incarnations == std::vector<BackendId>{1, 2, 3});
   CHECK(unsaved.front().revision == StoreRevision{.epoch = 2, .number = 9});
-  // What is taken away in that era was taken away by somebody who knew.
+  // Crashes removed within the new epoch were cleared on purpose.
   quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {},
                           .revision = {.epoch = 2, .number = 12}},
@@ -202,8 +213,9 @@
   CHECK(quarantine.CrashCount(kFingerprint) == 2);
 }
 
-// Numbers of the era before were kept, and lower ones dropped as old.
-TEST_CASE("Ends that are removed in an era that was adopted are forgiven") {
+// Guards against comparing revision numbers of the previous epoch with those of
+// the new one, whose lower numbers were dropped as old.
+TEST_CASE("Crashes that are removed in an adopted epoch are cleared") {
   Quarantine quarantine = WithCrashes(3);
   quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1, 2, 3},
--- a/serving/test/reducer_test.cc
+++ b/serving/test/reducer_test.cc
@@ -1,4 +1,4 @@
-// The reducer of the users' platform, rule by rule.
+// Tests of single rules of the reducer, each on one daemon.
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -13,7 +13,7 @@
 using test::kStart;
 using test::MakeConfiguration;
 
-TEST_CASE("The configuration in force only rises") {
+TEST_CASE("The configuration in force is never replaced by an older one") {
   Daemon daemon;
   daemon.Feed(ConfigurationReceived{.configuration = MakeConfiguration(5),
                                     .queried_at = daemon.now()});
@@ -27,10 +27,10 @@
 }
 
 TEST_CASE(
-    "Only the answer to a question proves freshness, from when it was put") {
+    "Only a query's response confirms freshness, as of when it was sent") {
   Daemon daemon;
   CHECK(IsServing(daemon.state()));
-  // A watch brings a change, which proves nothing of what came after it.
+  // A change from a watch confirms nothing about later changes.
   daemon.AdvanceTime(milliseconds(4700));
   daemon.Feed(ConfigurationReceived{.configuration = MakeConfiguration(2),
                                     .queried_at = Time{}});
@@ -40,14 +40,14 @@
   const auto* refused = daemon.FirstEffect<Refuse>();
   REQUIRE(refused != nullptr);
   CHECK(refused->status == 503);
-  // The word that an older revision was the newest proves that only for when
-  // it was asked.
+  // A response that an older revision is the newest confirms that only for when
+  // the query was sent.
   const Time queried_at = daemon.now() - milliseconds(4850);
   daemon.Feed(ConfigurationConfirmed{.revision = {.number = 1},
                                      .queried_at = queried_at});
   CHECK(daemon.state().confirmed_at == queried_at);
   CHECK_FALSE(IsServing(daemon.state()));
-  // A word about one that is not known here proves nothing.
+  // A response about a revision that isn't known here confirms nothing.
   daemon.Feed(ConfigurationConfirmed{.revision = {.number = 3},
                                      .queried_at = daemon.now()});
   CHECK(daemon.state().confirmed_at == queried_at);
@@ -56,7 +56,9 @@
   CHECK(IsServing(daemon.state()));
 }
 
-TEST_CASE("An entry that lapsed while the store was away is waited for") {
+TEST_CASE(
+    "An entry that expired while the store was unavailable is kept for a "
+    "while") {
   Daemon daemon;
   daemon.Feed(BackendUnlisted{.id = "app0", .certain = false});
   daemon.AdvanceTime(milliseconds(1500));
@@ -64,7 +66,8 @@
   daemon.ListBackend("app", 0);
   daemon.AdvanceTime(seconds(3));
   CHECK(daemon.state().backends.contains("app0"));
-  // No longer than a leaving backend server may still get work (2 s).
+  // The entry is kept no longer than a leaving backend server may still receive
+  // requests (2 s).
   daemon.Feed(BackendUnlisted{.id = "app0", .certain = false});
   daemon.AdvanceTime(milliseconds(1900));
   CHECK_FALSE(daemon.state().backends.contains("app0"));
@@ -82,12 +85,12 @@
   return addresses;
 }
 
-TEST_CASE("Each engine is asked how it does, by one daemon of all") {
+TEST_CASE("Each engine's report is fetched by one daemon of the fleet") {
   Daemon daemon;
   daemon.AdvanceTime(milliseconds(1700));
   CHECK(FetchedReportAddresses(daemon.effects()).size() == 6);
   daemon.ConfirmStore();
-  // Two others serve: each engine is one daemon's to ask.
+  // Two other daemons serve: each engine is assigned to one of the three.
   for (const std::string peer : {"1.1.1.2:2", "1.1.1.3:2"}) {
     daemon.Feed(SnapshotReceived{{.peer_address = peer,
                                   .incarnation = 1,
@@ -98,7 +101,8 @@
   const std::size_t own_reports =
       FetchedReportAddresses(daemon.effects()).size();
   CHECK(own_reports < 6);
-  // One of them falls silent, and its engines are asked by the others.
+  // One of them sends no more snapshots, and the others fetch the reports of
+  // its engines.
   for (std::uint64_t i = 2; i < 40; ++i) {
     daemon.AdvanceTime(milliseconds(100));
     daemon.Feed(SnapshotReceived{{.peer_address = "1.1.1.2:2",
@@ -111,7 +115,7 @@
   CHECK(FetchedReportAddresses(daemon.effects()).size() >= own_reports);
 }
 
-TEST_CASE("An engine that says it is slow gets nothing until it is not") {
+TEST_CASE("An engine that reports to be slow gets no requests until it isn't") {
   Daemon daemon;
   daemon.SendRequest("stream");
   const std::string first = daemon.FirstEffect<StartAttempt>()->instance;
@@ -138,7 +142,7 @@
   CHECK(used);
 }
 
-TEST_CASE("Slow engines are kept out only while most others are not") {
+TEST_CASE("Slow engines are avoided only while most others aren't") {
   Daemon daemon;
   std::size_t slow = 0;
   for (const auto& [name, backend] : daemon.state().backends) {
@@ -152,7 +156,7 @@
   CHECK(slow == 2);
 }
 
-TEST_CASE("A word of leaving is never taken back") {
+TEST_CASE("A server that is leaving stays so") {
   Daemon daemon;
   daemon.ListBackend("app", 0, /*leaving=*/true);
   daemon.ListBackend("app", 0);
@@ -164,7 +168,8 @@
   }
 }
 
-TEST_CASE("A usual pace does not clear an engine of what it failed") {
+TEST_CASE(
+    "A report without slowdown doesn't end the suspicion after a failure") {
   Daemon daemon;
   daemon.SendRequest("stream");
   const StartAttempt sent = *daemon.FirstEffect<StartAttempt>();
@@ -179,7 +184,7 @@
   }
 }
 
-TEST_CASE("A prompt isn't begun with a helper that has begun to leave") {
+TEST_CASE("A prompt isn't started with a prefill helper that is leaving") {
   Daemon daemon;
   daemon.SendRequest("stream", /*prompt=*/900'000);
   std::vector<ReserveMemory> orders;
@@ -201,11 +206,11 @@
                                           .granted = true});
     CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
   }
-  // What was set aside is given back.
+  // The memory reservations are released.
   CHECK(daemon.FirstEffect<ReleaseMemory>() != nullptr);
 }
 
-TEST_CASE("A late word of an attempt that is over changes nothing") {
+TEST_CASE("A late event of a finished attempt changes nothing") {
   Daemon daemon;
   const RequestKey key = daemon.SendRequest("stream");
   const AttemptId first = daemon.FirstEffect<StartAttempt>()->attempt;
@@ -221,7 +226,7 @@
   CHECK(daemon.state().requests.contains(key));
 }
 
-TEST_CASE("Peers' words of a bad backend server count") {
+TEST_CASE("Suspicions that peers publish count") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(1);
   snapshot.suspicions = {
@@ -234,7 +239,7 @@
   }
 }
 
-TEST_CASE("An older or doubled snapshot changes nothing") {
+TEST_CASE("An older or duplicate snapshot changes nothing") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(5);
   snapshot.incarnation = 7;
@@ -253,7 +258,7 @@
   CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 1);
 }
 
-TEST_CASE("Long prompts of all daemons wait in one order") {
+TEST_CASE("Long prompts of all daemons wait in one queue order") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(1);
   snapshot.waiting = {{.id = 1,
@@ -263,7 +268,7 @@
   daemon.Feed(SnapshotReceived{snapshot});
   daemon.SendRequest("stream", 100'000);
   CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
-  // Short ones don't wait for them.
+  // Short prompts don't wait for long ones.
   daemon.SendRequest("stream", 2'000);
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
   snapshot.waiting.clear();
@@ -274,10 +279,10 @@
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("What can't be served in time is refused at once, late ones wait") {
+TEST_CASE("Prompts that would miss the deadline are refused, late ones wait") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(1);
-  // Eighty engine-seconds of reading come first: 24 s for four engines.
+  // 80 engine-seconds of prefill come first: 24 s for four engines.
   snapshot.waiting = {{.id = 1,
                        .service = "llm",
                        .queue_key = kStart - seconds(9),
@@ -290,7 +295,8 @@
   CHECK(refused->retry_after > milliseconds(500));
   CHECK(refused->retry_after <= seconds(5));
   CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
-  // Twenty of them: it would miss its objective of 3 s, and not its deadline.
+  // With 20 engine-seconds ahead, the prompt would miss its objective of 3 s
+  // but not its deadline.
   snapshot.sequence = 2;
   snapshot.waiting[0].prefill_time = seconds(20);
   daemon.Feed(SnapshotReceived{snapshot});
@@ -299,7 +305,7 @@
 }
 
 TEST_CASE(
-    "Of a client that has left while its request waited nothing is sent") {
+    "Nothing is sent for a client that disconnected while its request waited") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(1);
   snapshot.waiting = {{.id = 1,
@@ -319,12 +325,14 @@
   CHECK(daemon.state().requests.empty());
 }
 
-TEST_CASE("An entry whose wait is over gets nothing in the same moment") {
+TEST_CASE(
+    "A backend whose expired entry is dropped gets nothing in that moment") {
   Daemon daemon;
   const RequestKey key = daemon.SendRequest("stream", 2'000);
   REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
   const std::string first = daemon.FirstEffect<StartAttempt>()->instance;
-  // The wait for all others ends when the first one is taken for lost.
+  // The expired entries of all others are dropped when the first attempt counts
+  // as lost.
   const Time lost_at = daemon.state().requests.at(key).progress_deadline;
   daemon.AdvanceTime(lost_at - milliseconds(1600) - daemon.now());
   for (int i = 0; i < 6; ++i) {
@@ -347,7 +355,7 @@
   CHECK(sent_late.empty());
 }
 
-TEST_CASE("A route's time-out ends a request, and not before") {
+TEST_CASE("A request ends at its route's timeout, and not before") {
   Daemon daemon;
   daemon.SendRequest("once", 0, seconds(100));
   const AttemptId attempt = daemon.FirstEffect<StartAttempt>()->attempt;
@@ -363,7 +371,7 @@
   CHECK(daemon.FirstEffect<DeliverAnswer>() == nullptr);
 }
 
-TEST_CASE("A planned stop takes what can end, then ends") {
+TEST_CASE("A planned stop accepts requests that can still end, then exits") {
   Daemon daemon;
   daemon.Feed(StopRequested{});
   CHECK_FALSE(IsServing(daemon.state()));
--- a/serving/test/repeat_budget_test.cc
+++ b/serving/test/repeat_budget_test.cc
@@ -8,7 +8,7 @@
 
 const Time kStart{seconds(100)};
 
-// Plans and sends until there is no room; how many left.
+// Reserves and sends retries until none is available. Returns their number.
 int SendAll(RetryBudget& budget, Time now, double slack_fraction) {
   int sent = 0;
   while (budget.ReserveRetry(now, slack_fraction) &&
@@ -17,20 +17,20 @@
   return sent;
 }
 
-TEST_CASE("Repeats keep to the ratio and a part of the slack") {
+TEST_CASE("Retries keep to the ratio and a share of the slack") {
   RetryBudget budget({.ratio = 0.2, .slack = 90, .window = seconds(10)});
   for (int i = 0; i < 100; ++i) budget.CountRequest(kStart);
   // Half of 0.2 x 100, nine tenths of 90 / 9.
   CHECK(SendAll(budget, kStart, 1.0 / 9) == 19);
 }
 
-TEST_CASE("Without a part of the slack repeats keep to the ratio") {
+TEST_CASE("Without a share of the slack, retries keep to the ratio") {
   RetryBudget budget({.ratio = 0.2, .slack = 90, .window = seconds(10)});
   for (int i = 0; i < 100; ++i) budget.CountRequest(kStart);
   CHECK(SendAll(budget, kStart, 0) == 10);
 }
 
-TEST_CASE("No window of that length holds more, wherever it begins") {
+TEST_CASE("No window holds more retries than allowed, wherever it begins") {
   const Duration window = seconds(10);
   RetryBudget budget({.ratio = 0, .slack = 10, .window = window});
   std::vector<Time> spent;
@@ -48,7 +48,7 @@
   }
 }
 
-TEST_CASE("What is planned takes room until it is sent or dropped") {
+TEST_CASE("A reserved retry uses budget until it is sent or released") {
   RetryBudget budget({.ratio = 0, .slack = 10, .window = seconds(10)});
   int reserved = 0;
   while (budget.ReserveRetry(kStart, 1)) ++reserved;
@@ -56,14 +56,14 @@
   budget.ReleaseRetry();
   CHECK(budget.ReserveRetry(kStart, 1));
   CHECK_FALSE(budget.ReserveRetry(kStart, 1));
-  // It leaves a window later, and counts from then.
+  // Retries that are sent more than a window later count from then on.
   const Time later = kStart + seconds(20);
   for (int i = 0; i < reserved; ++i) CHECK(budget.CommitRetry(later, 1));
   CHECK_FALSE(budget.ReserveRetry(later + seconds(9), 1));
   CHECK(budget.ReserveRetry(later + seconds(11), 1));
 }
 
-TEST_CASE("What was planned by room that is gone is not sent") {
+TEST_CASE("A reserved retry isn't sent if the budget no longer allows it") {
   RetryBudget budget({.ratio = 0, .slack = 10, .window = seconds(10)});
   REQUIRE(budget.ReserveRetry(kStart, 1));
   REQUIRE(budget.ReserveRetry(kStart, 1));
@@ -74,15 +74,16 @@
   CHECK(budget.Usage(kStart, 0.25).reserved == 0);
 }
 
-// Found on daemons that were killed again and again while most requests were
-// turned away, with 275 repeats of 274.8 allowed: the life before had gone back
-// to the requests of the window before, and the next one to its own.
-TEST_CASE("The lives of a daemon together keep to the ratio of one window") {
+// Guards against more retries than allowed (275 of 274.8) when a daemon is
+// killed again and again while most requests are declined: one incarnation uses
+// the requests of the window before, and the next one those of its own window.
+TEST_CASE(
+    "The incarnations of a daemon together keep to the ratio of one window") {
   constexpr int kRate = 50;  // requests a second
   const Duration window = seconds(10);
   for (int killed = 0; killed <= 10; ++killed) {
     RetryBudget budget({.ratio = 0.2, .slack = 0, .window = window});
-    int sent = 0;  // in the window that begins with the trouble
+    int sent = 0;  // in the window that begins when requests are declined
     for (int second = -10; second < 10; ++second) {
       const Time now = kStart + seconds(second);
       if (second == killed) {
--- a/serving/test/slack_share_test.cc
+++ b/serving/test/slack_share_test.cc
@@ -1,7 +1,6 @@
-// That the parts of the slack which daemons use in one window are one whole at
-// most, whatever they believe of each other. Before, each took one part of as
-// many as it believed to be there: in this test's fleet up to 4.5 times the
-// slack.
+// Guards against daemons that together use more than the whole retry slack
+// within a window. If each divides it by the number of daemons that it knows
+// itself, the fleet of this test uses up to 4.5 times the slack.
 
 #include "scaleshed/serving/slack_share.h"
 
@@ -21,7 +20,8 @@
 constexpr Duration kWindow = seconds(10);
 constexpr Duration kEntryTtl = seconds(20);
 
-// With its part from `since` on, if the store goes on holding its entry.
+// Returns the share of a daemon whose entry the store holds newly from `since`
+// on.
 SlackShare MakeHeldShare(Time since, std::size_t daemons) {
   SlackShare share(kWindow);
   share.OnEntryConfirmed(since, since + kEntryTtl, true);
@@ -30,7 +30,7 @@
   return share;
 }
 
-// The store renewed the entry and was counted.
+// The store renewed the entry, and its number of daemons arrived.
 void Renew(SlackShare& share, Time now, std::size_t daemons) {
   share.OnEntryConfirmed(now, now + kEntryTtl, false);
   share.OnDaemonsCounted(now);
@@ -38,7 +38,7 @@
 }
 
 TEST_CASE(
-    "A new entry has no part for a window and as long as counts are old") {
+    "A new entry has no share for a window plus the greatest age of counts") {
   SlackShare share = MakeHeldShare(kStart, 8);
   Renew(share, kStart + seconds(16), 8);
   CHECK(share.StateAt(kStart + seconds(16)) == ShareState::kTooRecent);
@@ -47,7 +47,8 @@
   CHECK(share.FractionAt(kStart + seconds(17)) == Approx(1.0 / 8));
 }
 
-TEST_CASE("A part ends with the entry, or with its count") {
+TEST_CASE(
+    "A share ends with the entry or when the number of daemons is stale") {
   SlackShare share = MakeHeldShare(kStart, 8);
   Renew(share, kStart + seconds(18), 8);
   CHECK(share.StateAt(kStart + seconds(25)) == ShareState::kHeld);
@@ -61,7 +62,8 @@
   CHECK(share.FractionAt(kStart + seconds(39)) == 0);
 }
 
-TEST_CASE("The parts of others are taken once they are out of the window") {
+TEST_CASE(
+    "Shares of gone daemons are divided once these are out of the window") {
   SlackShare share = MakeHeldShare(kStart, 8);
   Renew(share, kStart + seconds(20), 8);
   Renew(share, kStart + seconds(21), 4);
@@ -72,9 +74,10 @@
   CHECK(share.daemons() == 4);
 }
 
-// Daemons that start, are killed, come back under their address, lose the
-// store for a while, and spend all that they may, all the time. The store's
-// count comes to each late, and what each hears of others may be nothing.
+// A fleet of daemons that start, are killed, restart under their address, can't
+// reach the store for a while, and send all the retries that they may, all the
+// time. The store's number of daemons arrives late at each, and a daemon may
+// receive no snapshots of the others.
 class RandomFleet {
  public:
   RandomFleet(std::uint64_t seed, std::size_t daemons)
@@ -85,7 +88,7 @@
   void Step() {
     now_ += kStep;
     for (std::size_t i = 0; i < daemons_.size(); ++i) StepDaemon(i);
-    // Entries whose lease is over go.
+    // Expired entries are removed.
     std::erase_if(entries_, [&](const auto& it) { return it.second <= now_; });
     counts_.push_back(entries_.size());
     InjectFault();
@@ -102,7 +105,7 @@
 
   struct Daemon {
     bool running = false;
-    Time due{};  // of its next call to the store, or of its start
+    Time due{};  // time of its next call to the store, or of its start
     bool store_unreachable = false;  // from the store
     SlackShare share{kWindow};
     RetryBudget budget{{.ratio = 0, .slack = kSlack, .window = kWindow}};
@@ -120,7 +123,7 @@
     Daemon& it = daemons_[i];
     if (now_ >= it.due && !it.store_unreachable) CallStore(i);
     if (!it.running) return;
-    // Some hear all others, some nobody.
+    // Some daemons receive snapshots of all others, some of none.
     it.share.RecordDaemonCount(now_, Random(1) == 0 ? 1
                                      : it.has_entry ? delivered_count_
                                                     : 1);
@@ -144,7 +147,7 @@
     it.has_entry = true;
   }
 
-  // As it was up to 6.8 s ago.
+  // Delivers the number of daemons as it was up to 6.8 s ago.
   void DeliverCount(Daemon& daemon) {
     const std::size_t steps_back = std::min(Random(34), counts_.size());
     if (steps_back == 0) return;
@@ -168,13 +171,13 @@
   std::mt19937_64 random_;
   Time now_ = kStart;
   std::vector<Daemon> daemons_;
-  std::map<std::size_t, Time> entries_;  // until when
+  std::map<std::size_t, Time> entries_;  // lease expiry
   std::vector<std::size_t> counts_;      // of entries, by step
   std::size_t delivered_count_ = 1;
   std::deque<Time> sent_;
 };
 
-TEST_CASE("All parts together are one whole at most, whatever happens") {
+TEST_CASE("All shares together never exceed the slack, whatever fails") {
   std::size_t most = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     RandomFleet fleet(seed, 3 + seed % 60);
@@ -186,7 +189,7 @@
       most = std::max(most, n);
     }
   }
-  // It is used, too.
+  // Most of the slack can be used.
   CHECK(static_cast<double>(most) > 0.7 * RandomFleet::kSlack);
 }
 
