--- a/serving/src/endings.cc
+++ b/serving/src/endings.cc
@@ -61,8 +61,8 @@
   const Backend* backend = nullptr;
   std::uint64_t rank = 0;  // order of preference, the same at all daemons
   std::int64_t active_requests = 0;
-  std::int64_t same_fingerprint =
-      0;                 // active requests with the demand's fingerprint
+  // Active requests with the demand's fingerprint.
+  std::int64_t same_fingerprint = 0;
   bool avoided = false;  // suspected, or excluded for this request
 };
 
@@ -97,8 +97,8 @@
   return !it.avoided && it.active_requests < it.backend->server.slots;
 }
 
-// Whether another daemon currently checks if a further server has crashed while
-// it ran a request with this fingerprint.
+// Whether another daemon currently checks whether a further server has crashed
+// while it ran a request with this fingerprint.
 bool IsCheckedByPeer(const State& state, std::uint64_t fingerprint) {
   return std::any_of(
       state.members.begin(), state.members.end(), [&](const auto& it) {
--- a/serving/src/life_checks.cc
+++ b/serving/src/life_checks.cc
@@ -13,7 +13,8 @@
 // then.
 constexpr int kRefusalsUntilEnded = 2;
 constexpr Duration kRefusedProbeInterval = milliseconds(50);
-// Interval after a probe without a result: a packet of it may have been lost.
+// Time until the next probe after one without a result, of which a packet may
+// have been lost.
 constexpr Duration kInconclusiveProbeInterval = milliseconds(150);
 constexpr Duration kLivenessCheckTimeout = seconds(2);
 // Data that a server sent before its process ended may still arrive this long
--- a/serving/test/slack_share_test.cc
+++ b/serving/test/slack_share_test.cc
@@ -63,7 +63,7 @@
 }
 
 TEST_CASE(
-    "Shares of gone daemons are divided once these are out of the window") {
+    "A gone daemon's share is divided once its retries are out of the window") {
   SlackShare share = MakeHeldShare(kStart, 8);
   Renew(share, kStart + seconds(20), 8);
   Renew(share, kStart + seconds(21), 4);
@@ -106,7 +106,7 @@
   struct Daemon {
     bool running = false;
     Time due{};  // time of its next call to the store, or of its start
-    bool store_unreachable = false;  // from the store
+    bool store_unreachable = false;
     SlackShare share{kWindow};
     RetryBudget budget{{.ratio = 0, .slack = kSlack, .window = kWindow}};
     bool has_entry = false;
@@ -172,7 +172,7 @@
   Time now_ = kStart;
   std::vector<Daemon> daemons_;
   std::map<std::size_t, Time> entries_;  // lease expiry
-  std::vector<std::size_t> counts_;      // of entries, by step
+  std::vector<std::size_t> counts_;      // number of entries after each step
   std::size_t delivered_count_ = 1;
   std::deque<Time> sent_;
 };
