--- a/serving/test/innocent_requests_test.cc
+++ b/serving/test/innocent_requests_test.cc
@@ -12,8 +12,8 @@
 struct LoadTotals {
   std::size_t sent = 0;
   std::size_t answered = 0;
-  std::size_t long_sends = 0;  // of long prompts
-  std::size_t helpers = 0;     // prefill helpers of all long sends
+  std::size_t long_sends = 0;
+  std::size_t helpers = 0;  // prefill helpers of all long sends
 };
 
 // Sends long prompts, a hot prompt that is sent again and again, and others to
--- a/serving/test/life_checks_test.cc
+++ b/serving/test/life_checks_test.cc
@@ -24,9 +24,9 @@
   const auto* sent = daemon.FirstEffect<StartAttempt>();
   const BackendId id = daemon.state().backends.at(sent->instance).id;
   daemon.Feed(AttemptFailed{.attempt = sent->attempt});
-  const auto* probes = daemon.FirstEffect<ProbeLiveness>();
-  REQUIRE(probes != nullptr);
-  CHECK(probes->backend == id);
+  const auto* probe = daemon.FirstEffect<ProbeLiveness>();
+  REQUIRE(probe != nullptr);
+  CHECK(probe->backend == id);
   return id;
 }
 
