--- a/serving/include/scaleshed/serving/effects.h
+++ b/serving/include/scaleshed/serving/effects.h
@@ -16,72 +16,79 @@
 
 namespace scaleshed::serving {
 
-// An engine that reads a part of a prompt, with the name of the memory that is
-// set aside there, if any.
+// An engine that prefills a part of another engine's prompt. `reservation_id`
+// names the memory reserved there for it; empty: none.
 struct PrefillHelper {
   std::string address;
   std::string reservation_id;
 };
 
-// Sends a request to a backend server.
+// Sends a request to a backend server. AttemptAnswered or AttemptFailed follows
+// unless CancelAttempt ends the attempt first.
 struct StartAttempt {
   AttemptId attempt = 0;
   RequestKey key = 0;
   std::string address;
-  std::string instance;  // the life that is meant
+  std::string instance;  // identifies the backend incarnation to send to
   std::string account;   // empty on public routes
   Duration time_left{};
   bool stream = false;
-  // Empty: from the beginning, or where the client's own request says.
+  // Id of the last event that the client has received. Empty: the stream starts
+  // at its beginning, or where the client's own request says.
   std::string resume_after;
   std::vector<PrefillHelper> helpers;
 };
 
-// Breaks the connection, so that the backend server stops working.
+// Closes the attempt's connection, so that the backend server stops running the
+// request.
 struct CancelAttempt {
   AttemptId attempt = 0;
 };
 
-// Passes on a whole answer that the driver holds.
+// Sends the client the complete response that the driver keeps for the attempt.
 struct DeliverAnswer {
   RequestKey key = 0;
   AttemptId attempt = 0;
 };
 
-// Begins a stream's answer with status and headers of that attempt.
+// Starts a streamed response with the status and headers of the attempt's
+// response.
 struct BeginStream {
   RequestKey key = 0;
   AttemptId attempt = 0;
 };
+// Sends the client one event of a stream.
 struct ForwardEvent {
   RequestKey key = 0;
   std::string bytes;
 };
+// Ends a streamed response as complete.
 struct EndStream {
   RequestKey key = 0;
 };
-// Ends an answer that has begun so that it can't be taken for whole.
+// Ends a response that has started in such a way that the client can't take it
+// for complete.
 struct AbortResponse {
   RequestKey key = 0;
 };
 
-// Why a request gets an answer of our own.
+// Why the daemon itself responds to a request with an error.
 enum class Refusal {
   kNoConfiguration,
-  kConfigurationStale,  // the configuration may be too old to go by
-  kBackendListStale,    // the list of backend servers may
+  kConfigurationStale,  // the configuration may be too old to be used
+  kBackendListStale,    // the list of backend servers may be too old to be used
   kUnknownRoute,
   kUnknownKey,
   kInvalid,
   kNoBackend,
   kOverload,
-  kRateLimited,  // the limits that the backend servers have named are used up
-  kBackendsBackingOff,  // every backend server has asked this daemon for rest
+  kRateLimited,         // the rate limits of the backend servers are used up
+  kBackendsBackingOff,  // every backend server has asked for a backoff
   kStopping,
-  kNotRun,   // every backend server that was asked declined
-  kUnknown,  // it may have run, and no answer came
+  kNotRun,   // every backend server that got the request declined it
+  kUnknown,  // the request may have run, and no response came
   kTimeLimit,
-  kQuarantined,  // too many backend servers have ended under its content
+  kQuarantined,  // too many crashes count against the request's fingerprint
 };
 inline constexpr NameTable<Refusal, 15> kRefusalNames{{
     {Refusal::kNoConfiguration, "no_configuration"},
@@ -101,14 +108,16 @@
     {Refusal::kQuarantined, "quarantined"},
 }};
 
+// Responds to a request with an error of the daemon's own.
 struct Refuse {
   RequestKey key = 0;
   Refusal reason = Refusal::kInvalid;
   int status = 0;
-  Duration retry_after{};  // zero: nothing is said
+  Duration retry_after{};  // zero: the response has no Retry-After
 };
 
-// Asks an engine to keep memory free under `ticket`, anew or for longer.
+// Asks an engine to create or extend a memory reservation under
+// `reservation_id`, for `lease_duration`. MemoryReservationAnswered follows.
 struct ReserveMemory {
   AttemptId attempt = 0;
   std::size_t helper_index = 0;
@@ -117,83 +126,98 @@
   std::int64_t tokens = 0;
   Duration lease_duration{};
 };
+// Ends a memory reservation before its lease expires.
 struct ReleaseMemory {
   std::string address;
   std::string reservation_id;
 };
 
-// Asks an engine how it does. ReportSeen follows only where it answers.
+// Fetches an engine's report on its own state. EngineReportReceived follows
+// only if the engine responds.
 struct FetchEngineReport {
   BackendId backend = 0;
   std::string address;
 };
 
-// Asks whether that life of a backend server is over. LifeSeen follows.
+// Probes whether this backend incarnation has ended. LivenessProbed follows.
 struct ProbeLiveness {
   BackendId backend = 0;
   std::string address;
 };
 
-// Tells other daemons; each message may be lost.
+// Sends a snapshot of this daemon's state to other daemons; each message may be
+// lost.
 struct PublishSnapshot {
   std::vector<std::string> to;
   LoadSnapshot snapshot;
 };
 
-// Asks the store whether what is known is the newest: of the configuration and
-// of all entries of backend servers. What is not comes as events of its own.
+// Queries the store whether the known configuration and the known entries of
+// backend servers are the newest. Whatever is newer is delivered by events such
+// as ConfigurationReceived and BackendListed.
 struct PollStore {
   StoreRevision configuration;
-  // Ids and revisions of their entries.
+  // Id and entry revision of each known backend server.
   std::vector<std::pair<std::string, StoreRevision>> backends;
 };
-// Reads the configuration, of which one that new is known to be there.
+// Reads the configuration, which is known to exist in a version at least as new
+// as `wanted`.
 struct ReadConfiguration {
   ConfigurationStamp wanted;
-  // A daemon that has it, by peer address. The store is asked where that one
-  // does not tell.
+  // Peer address of a daemon that has the configuration. The store is queried
+  // if that daemon doesn't supply it.
   std::string source_peer;
 };
-// Reads all that the store holds.
+// Lists all entries of the store.
 struct ListStore {};
-// The store was restored from a copy: what this daemon has there may be lost.
+// Rewrites this daemon's own entry, which may be lost because the store was
+// restored from a backup.
 struct RewriteOwnEntry {};
-// Notes in the store that this era of it is settled. SettledEraSeen follows.
+// Records in the store that this epoch is reconciled. ReconciledEpochObserved
+// follows.
 struct WriteReconciledEpoch {
   std::uint64_t epoch = 0;
 };
-// Whether to be told by the store of what changes there.
+// Starts or ends this daemon's watch of the store's changes.
 struct WatchStore {
   bool enabled = false;
 };
 
-// Writes these to the store, all or none, each under its condition; those
-// without lives are taken away. EndingsSaved follows.
+// Writes these crashes to the store, all or none, each on condition that its
+// entry is unchanged; an entry without incarnations is deleted.
+// SaveCrashesFinished follows.
 struct SaveCrashes {
   std::vector<StoredCrashes> crashes;
 };
 
-// One message to each; any may be lost.
+// Sends other daemons what this one knows of the store, in one message each;
+// any message may be lost.
 struct RelayStoreState {
   std::vector<std::pair<std::string, StoreRelay>> messages;  // by receiver
 };
 
+// Requests a placement from a placer, or withdraws the request; the message may
+// be lost.
 struct RequestPlacement {
   std::string to;
   PlacementRequest request;
 };
+// Responds to another daemon's placement request; the message may be lost.
 struct RespondToPlacement {
   std::string to;
   PlacementResponse response;
 };
 
+// Writes a log line.
 struct LogDecision {
   std::string event;
   std::vector<std::pair<std::string, std::string>> fields;
-  // Goes as it should: may be left out where there are too many.
+  // The line reports normal operation and may be dropped under a high log
+  // volume.
   bool routine = false;
 };
 
+// The daemon's counters, as exported in its metrics.
 enum class Counter {
   kRequests,
   kDelivered,
@@ -237,24 +261,26 @@
     {Counter::kCrashSuspected, "in_doubt"},
 }};
 
+// Adds one to a counter.
 struct IncrementCounter {
   Counter counter = Counter::kRequests;
 };
 
-// How long an answer or a stream's first event took.
+// Records how long a response, or the first event of a stream, took.
 struct ObserveLatency {
   std::string account;
   std::string route;
   Duration elapsed{};
 };
 
-// A newer configuration is in force: the limits for requests that begin from
-// now on.
+// A newer configuration is in force; these limits apply to requests that start
+// from now on.
 struct ApplyLimits {
   RequestLimits limits;
 };
 
-// Nothing is in work any more: the planned stop is complete.
+// No request is running any more, so that the requested stop is complete and
+// the process may exit.
 struct Exit {};
 
 using Effect =
--- a/serving/include/scaleshed/serving/events.h
+++ b/serving/include/scaleshed/serving/events.h
@@ -15,44 +15,48 @@
 
 namespace scaleshed::serving {
 
-// What deciding needs to know of a request. The driver keeps its bytes.
+// The part of a client's request that the reducer decides by. The driver parses
+// it from the request and keeps the request's bytes.
 struct RequestMetadata {
-  std::string id;  // the client's, new for each of its attempts
+  std::string id;  // chosen by the client, new for each of its sends
   std::string host;
   std::string path;  // without the query
   std::vector<std::string> keys;
-  Duration deadline{};  // zero: not told
+  Duration deadline{};  // zero: not specified
   std::int64_t prompt_tokens = 0;
   std::int64_t answer_tokens = 0;
   std::string last_event_id;
-  // A hash of what a client sends again under a new id: method, host, path,
-  // query and body. Zero: not told.
+  // The request fingerprint: a hash of method, host, path, query and body,
+  // which stays the same when a client retries the request under a new id.
+  // Zero: not specified.
   std::uint64_t fingerprint = 0;
 };
 
+// A client's request has arrived; `key` names it in all later events and
+// effects.
 struct RequestArrived {
   RequestKey key = 0;
   RequestMetadata metadata;
 };
 
-// Before its answer was complete.
+// The client has disconnected before its response was complete.
 struct ClientDisconnected {
   RequestKey key = 0;
 };
 
-// A whole event of a stream.
+// One complete event of an attempt's response stream.
 struct StreamEvent {
   AttemptId attempt = 0;
   std::string id;
   std::string bytes;
 };
 
-// How an answer that came whole is to be taken.
+// How a completely received response is classified.
 enum class AnswerKind {
   kSuccess,
-  kFailure,   // the backend server's own, after it ran the request
-  kNotRun,    // the backend server says that it did not run it
-  kReplaced,  // as kNotRun: another backend server has that address
+  kFailure,   // the backend server failed after it ran the request
+  kNotRun,    // the backend server says that it did not run the request
+  kReplaced,  // not run: another backend server has that address now
 };
 inline constexpr NameTable<AnswerKind, 4> kAnswerKindNames{{
     {AnswerKind::kSuccess, "success"},
@@ -61,201 +65,226 @@
     {AnswerKind::kReplaced, "gone"},
 }};
 
-// The whole answer is there; the driver keeps it. For a stream: its end.
+// The response to an attempt is complete; the driver keeps it. A stream's
+// response is complete when the stream has ended.
 struct AttemptAnswered {
   AttemptId attempt = 0;
   AnswerKind kind = AnswerKind::kFailure;
   int status = 0;
-  // The address of the backend server that a refusal is due to, if not the one
-  // that was asked.
+  // The address of the backend server that refused the request, if it isn't the
+  // one that the attempt was sent to.
   std::string refusing_address;
 };
 
+// Why an attempt brought no usable response.
 enum class AttemptError {
-  kNotSent,      // no byte left
-  kInterrupted,  // sent; the answer broke off, never came or belongs to nobody
+  kNotSent,      // no byte was sent
+  kInterrupted,  // sent; the response is missing, truncated or not attributable
 };
 inline constexpr NameTable<AttemptError, 2> kAttemptErrorNames{{
     {AttemptError::kNotSent, "not_sent"},
     {AttemptError::kInterrupted, "cut"},
 }};
 
+// An attempt has failed without a complete response.
 struct AttemptFailed {
   AttemptId attempt = 0;
   AttemptError error = AttemptError::kInterrupted;
   std::string detail;
 };
 
-// What a backend server says of itself in the head of an answer.
+// The signals that a backend server gives about itself in the head of a
+// response.
 struct ServerSignals {
-  // Requests a second that it takes from all daemons together; nothing: as many
-  // as come.
+  // Requests a second that the server accepts from all daemons together; no
+  // value: unlimited.
   std::optional<double> rate_limit;
-  // It is about to end and wants no new work. Never taken back by a life.
+  // The server is shutting down and takes no new work. A backend incarnation
+  // never withdraws this.
   bool leaving = false;
-  // It refused, and wants nothing from this daemon for so long.
+  // The server refused the request and asked this daemon to send it nothing for
+  // this long.
   Duration backoff{};
 };
 
-// The head of an answer has come, whether or not the rest can be used. For a
-// stream: long before AttemptAnswered.
+// The head of a response has arrived, whether or not the rest proves usable. A
+// stream's head arrives long before its AttemptAnswered.
 struct ResponseHeadReceived {
   AttemptId attempt = 0;
   ServerSignals signals;
-  // That it names no limit doesn't count: it names something.
+  // The head has a rate limit that can't be parsed, so that a missing
+  // `signals.rate_limit` doesn't mean that the server is unlimited.
   bool rate_limit_unreadable = false;
 };
 
-// The answer to ReserveMemory.
+// The engine's response to ReserveMemory.
 struct MemoryReservationAnswered {
   AttemptId attempt = 0;
   std::size_t helper_index = 0;
   bool granted = false;
 };
 
-// What an engine says of itself, a little late.
+// An engine's report on its own state, slightly out of date on arrival.
 struct EngineReportReceived {
   BackendId backend = 0;
-  double slowdown = 1;  // its passes take so many times as long as they should
-  std::uint64_t start_unix_ms = 0;  // the life that says so; zero: not told
+  // Factor by which the engine's steps take longer than configured.
+  double slowdown = 1;
+  // Start time of the backend incarnation that reports; zero: unknown.
+  std::uint64_t start_unix_ms = 0;
 };
 
-// What became of AskLife.
+// What a liveness probe has found.
 enum class ProbeResult {
-  kAlive,         // something listens there and speaks
-  kRefused,       // nobody listens there
-  kInconclusive,  // neither was seen
+  kAlive,         // a process at the address responds
+  kRefused,       // no process listens at the address
+  kInconclusive,  // neither could be established
 };
 inline constexpr NameTable<ProbeResult, 3> kProbeResultNames{{
     {ProbeResult::kAlive, "answered"},
     {ProbeResult::kRefused, "refused"},
     {ProbeResult::kInconclusive, "nothing"},
 }};
+// A probe started by ProbeLiveness has finished.
 struct LivenessProbed {
   BackendId backend = 0;
   ProbeResult result = ProbeResult::kInconclusive;
 };
 
-// A configuration that is stored. `asked` is when the question was put whose
-// answer it is: then it was the newest.
+// The store returned this configuration. It was the newest one at `queried_at`,
+// when the query was sent.
 struct ConfigurationReceived {
   Configuration configuration;
   Time queried_at{};
 };
 
-// The store still held that revision of the configuration at `asked`.
+// The store still held this revision of the configuration at `queried_at`.
 struct ConfigurationConfirmed {
   StoreRevision revision;
   Time queried_at{};
 };
 
-// All entries of backend servers that were there at `asked` have been told.
+// Events have been raised for all entries of backend servers that the store
+// held at `queried_at`.
 struct BackendsConfirmed {
-  std::uint64_t epoch = 0;  // of the store that said so
+  std::uint64_t epoch = 0;  // the store epoch that the response names
   Time queried_at{};
 };
 
-// All changes up to that revision of the store have been told.
+// Events have been raised for all changes up to this revision of the store.
 struct BackendChangesComplete {
   StoreRevision revision;
 };
 
-// An answer of the store names another era than the one before.
+// A response of the store names another store epoch than the previous one.
 struct StoreEpochObserved {
   std::uint64_t epoch = 0;
 };
 
-// The store holds a note that the daemons got over the restore that began that
-// era; zero: the note is gone.
+// The store has recorded that the restore which began this epoch is reconciled;
+// zero: that record is gone.
 struct ReconciledEpochObserved {
   std::uint64_t epoch = 0;
 };
 
-// The store was asked for what ReadConfiguration wants, as no daemon told it.
+// The store was queried for the configuration that ReadConfiguration wants,
+// since no other daemon supplied it.
 struct StoreQueried {};
 
-// Something of an answer of the store came to this daemon, of whichever, that
-// is more than a refusal to answer.
+// At least a part of a response of the store has reached this daemon, to any
+// query, and it isn't a mere refusal.
 struct StoreResponded {};
 
-// This daemon's own question to the store brought no answer.
+// This daemon's own query to the store got no response.
 struct StoreUnreachable {};
 
+// Another daemon has relayed what it knows of the store.
 struct StoreRelayReceived {
   StoreRelay relay;
 };
 
+// The store holds this entry of a backend server.
 struct BackendListed {
   BackendServer backend;
 };
 
-// Its entry is gone. `certain` unless the store was away just before, when
-// entries of living backend servers lapse too.
+// The store no longer holds the entry of this backend server. `certain` is
+// false if the store was unavailable just before, when the leases of living
+// backend servers expire too.
 struct BackendUnlisted {
   std::string id;
   bool certain = true;
-  StoreRevision revision;  // of the store when the entry was gone
+  StoreRevision revision;  // revision of the store at which the entry is gone
 };
 
-// All entries there are; others are gone.
+// All entries of backend servers that the store holds; any other known entry is
+// gone, with `certain` as in BackendUnlisted.
 struct BackendsListed {
   std::vector<BackendServer> backends;
   bool certain = true;
-  StoreRevision revision;  // of the store
-  Time queried_at{};       // when the question was put
+  StoreRevision revision;  // revision of the store that was listed
+  Time queried_at{};       // when the query was sent
 };
 
-// What the store holds for a content, as a watch or a conflict tells it.
+// The crashes that the store holds for one request fingerprint, as seen by a
+// watch or by a write that met a conflict.
 struct CrashesStored {
   StoredCrashes crashes;
 };
-// All that it holds; others have no entry.
+// All crashes that the store holds; it has no entry for any other fingerprint.
 struct AllCrashesListed {
   std::vector<StoredCrashes> crashes;
-  StoreRevision revision;  // of the store
+  StoreRevision revision;  // revision of the store that was listed
 };
-// The call of SaveEndings is over. What it wrote comes as EndingsStored, or in
-// a list.
+// The write started by SaveCrashes has ended, successfully or not. What it
+// wrote is delivered as CrashesStored or AllCrashesListed.
 struct SaveCrashesFinished {};
 
-// Where other daemons take snapshots, as registered at the platform.
+// The address at which another daemon receives snapshots, as registered at the
+// platform.
 struct ListedPeer {
   std::string peer_address;
-  std::string data_centre;  // empty: not told
+  std::string data_centre;  // empty: unknown
 };
+// All daemons that are registered at the platform.
 struct PeersListed {
   std::vector<ListedPeer> peers;
 };
 
-// The store holds this daemon's entry until then, as far as it said. `anew`: it
-// was just written; else it has stood since it was.
+// The store holds this daemon's entry at least until `valid_until`, according
+// to its last response. `newly_written`: the entry was just written; otherwise
+// it has been there without interruption since it was.
 struct OwnEntryConfirmed {
   Time valid_until{};
   bool newly_written = false;
 };
-// This daemon's entry is gone, or was asked to be taken away.
+// This daemon's entry is gone from the store, or its removal was requested.
 struct OwnEntryRemoved {};
-// A restore may have lost this daemon's entry; it is being written again.
+// A restore may have lost this daemon's entry, which is being rewritten.
 struct OwnEntryLost {};
 
-// So many daemons had an entry at `asked`.
+// The number of daemons that had an entry in the store at `queried_at`.
 struct DaemonsCounted {
   std::size_t daemons = 0;
   Time queried_at{};
 };
 
+// A snapshot of another daemon's state has arrived.
 struct SnapshotReceived {
   LoadSnapshot snapshot;
 };
 
+// Another daemon requests, changes or withdraws a placement.
 struct PlacementRequestReceived {
   PlacementRequest request;
 };
+// A placer has responded to this daemon's request for a placement.
 struct PlacementResponseReceived {
   PlacementResponse response;
 };
 
+// Time has passed: whatever is due by now is done.
 struct Tick {};
+// The daemon is to stop once its running requests are finished.
 struct StopRequested {};
 
 using EventBody = std::variant<
@@ -270,6 +299,8 @@
     DaemonsCounted, SnapshotReceived, PlacementRequestReceived,
     PlacementResponseReceived, Tick, StopRequested>;
 
+// An input of the reducer: what has happened, and when. The reducer reads no
+// clock, so `now` is the time that all its decisions go by.
 struct Event {
   Time now;
   EventBody body;
