--- a/serving/src/backends.cc
+++ b/serving/src/backends.cc
@@ -8,30 +8,30 @@
 // A backend server's first failure keeps requests away for so long; each
 // further one doubles it.
 constexpr Duration kFirstSuspicion = milliseconds(500);
-constexpr int kMostDoublings = 3;
+constexpr int kMaxSuspicionDoublings = 3;
 // Answers that are remembered: each new one takes away this part of the old.
-constexpr double kForgetting = 0.08;
+constexpr double kOutcomeDecay = 0.08;
 // A backend server that fails this part of its requests more than the others
 // of its service is suspect, from this many answers on.
-constexpr double kMoreBadAnswers = 0.25;
-constexpr double kLeastAnswers = 4;
-constexpr Duration kBadAnswersSuspicion = seconds(2);
+constexpr double kExcessFailureShare = 0.25;
+constexpr double kMinResponsesToJudge = 4;
+constexpr Duration kFailureShareSuspicion = seconds(2);
 // At most this part of a service's backend servers is kept out at a time.
-constexpr double kMostSuspects = 0.34;
+constexpr double kMaxAvoidedShare = 0.34;
 // Each further suspicion of an engine that has not written since the last keeps
 // it out twice as long, whichever daemon has it: one that hangs is met by
 // another of many daemons each time, and each takes it for the first. After a
 // while it counts as the first again.
-constexpr Duration kFirstDoubt = milliseconds(500);
-constexpr int kMostDoubtDoublings = 4;
-constexpr Duration kRowWithin = seconds(10);
+constexpr Duration kFirstEngineSuspicion = milliseconds(500);
+constexpr int kMaxEngineSuspicionDoublings = 4;
+constexpr Duration kConsecutiveSuspicionWindow = seconds(10);
 // It comes back by one short prompt at a time until one of these is written,
 // and reads nothing for long ones, which fail with any of their engines; no
 // longer than this, as there may be no short prompt to show it.
 constexpr Duration kProbation = seconds(2);
 
-std::size_t CountSuspects(const State& state, const std::string& service,
-                          std::size_t& all) {
+std::size_t CountAvoided(const State& state, const std::string& service,
+                         std::size_t& all) {
   std::size_t n = 0;
   all = 0;
   for (const auto& [name, backend] : state.backends) {
@@ -43,13 +43,13 @@
 }
 
 // Unless too many of its service are avoided already.
-void Avoid(State& state, Backend& backend, Time Backend::*until,
-           Duration length, const std::string& why) {
+void AvoidBackend(State& state, Backend& backend, Time Backend::*until,
+                  Duration length, const std::string& why) {
   std::size_t all = 0;
-  const std::size_t n = CountSuspects(state, backend.server.service, all);
-  const bool already = backend.avoided_until() > state.now;
-  const auto most = static_cast<double>(all) * kMostSuspects;
-  if (!already && static_cast<double>(n + 1) > most) return;
+  const std::size_t n = CountAvoided(state, backend.server.service, all);
+  const bool already_avoided = backend.avoided_until() > state.now;
+  const auto max_avoided = static_cast<double>(all) * kMaxAvoidedShare;
+  if (!already_avoided && static_cast<double>(n + 1) > max_avoided) return;
   backend.*until = std::max(backend.*until, state.now + length);
   state.has_unpublished_changes = true;
   state.effects.emplace_back(IncrementCounter{Counter::kSuspicions});
@@ -61,7 +61,7 @@
 }
 
 void LogBackend(State& state, const BackendServer& server,
-                const std::string& what, const std::string& why = "") {
+                const std::string& new_state, const std::string& why = "") {
   Log(state, "backend",
       {{"backend", server.id},
        {"service", server.service},
@@ -69,15 +69,15 @@
        {"born", std::to_string(server.start_unix_ms)},
        {"era", std::to_string(server.revision.epoch)},
        {"revision", std::to_string(server.revision.number)},
-       {"state", what},
+       {"state", new_state},
        {"why", why}},
       // A first list may have thousands.
-      /*routine=*/what == "listed");
+      /*routine=*/new_state == "listed");
 }
 
 // Of all that an entry says, and of its revision within the era: a number may
 // be given out again in the next one, for another content.
-std::uint64_t HashOf(const BackendServer& it) {
+std::uint64_t HashEntry(const BackendServer& it) {
   std::uint64_t hash = HashBytes(it.id, it.revision.number);
   for (const std::string* text :
        {&it.service, &it.address, &it.data_centre, &it.entry_error}) {
@@ -92,7 +92,7 @@
 }
 
 // It went, and a copy of the store may have brought its entry back.
-void KeepOut(State& state, Backend& backend) {
+void KeepOutRestored(State& state, Backend& backend) {
   if (backend.tombstone_until) return;
   backend.tombstone_until = RestoredTombstoneEnd(state);
   LogBackend(state, backend.server, "kept_out", "listed by an older copy");
@@ -100,51 +100,52 @@
 
 // The entry names no backend server to use. What is known of the one that it
 // named before stays, for when a right entry comes again.
-void TakeFaulty(State& state, Backend& backend, const BackendServer& entry,
-                const std::string& fault) {
+void ApplyFaultyEntry(State& state, Backend& backend,
+                      const BackendServer& entry, const std::string& error) {
   const bool is_new = backend.server.id.empty();
   if (is_new) {
     backend.server = entry;
     backend.id = IdOf(entry);
   }
   backend.server.revision = entry.revision;
-  backend.server.entry_error = fault;
-  LogBackend(state, backend.server, "unusable", fault);
+  backend.server.entry_error = error;
+  LogBackend(state, backend.server, "unusable", error);
 }
 
 // Another life under a known id. It holds and knows nothing of the one before:
 // neither a word of leaving, nor what was seen of it, nor what it had in work.
-void BeginLife(State& state, Backend& backend, const BackendServer& entry) {
-  const BackendId before = backend.id;
-  const std::uint64_t born_before = backend.server.start_unix_ms;
+void BeginIncarnation(State& state, Backend& backend,
+                      const BackendServer& entry) {
+  const BackendId previous_id = backend.id;
+  const std::uint64_t previous_start_ms = backend.server.start_unix_ms;
   backend = {.server = entry, .id = IdOf(entry)};
   backend.server.leaving = entry.leaving || state.leaving.contains(backend.id);
   state.has_unpublished_changes = true;
   LogBackend(state, entry, "started_again",
-             "born before: " + std::to_string(born_before));
-  FailAttemptsAt(state, before);
+             "born before: " + std::to_string(previous_start_ms));
+  FailAttemptsAt(state, previous_id);
 }
 
 // A newer entry of that id than the one that is known.
-void TakeEntry(State& state, Backend& backend, const BackendServer& entry) {
+void ApplyEntry(State& state, Backend& backend, const BackendServer& entry) {
   const bool is_new = backend.server.id.empty();
   if (!entry.entry_error.empty()) {
-    TakeFaulty(state, backend, entry, entry.entry_error);
+    ApplyFaultyEntry(state, backend, entry, entry.entry_error);
     return;
   }
-  const std::uint64_t born = backend.server.start_unix_ms;
-  if (entry.start_unix_ms == 0 && born != 0) {
-    TakeFaulty(state, backend, entry, "born: missing");
+  const std::uint64_t known_start_ms = backend.server.start_unix_ms;
+  if (entry.start_unix_ms == 0 && known_start_ms != 0) {
+    ApplyFaultyEntry(state, backend, entry, "born: missing");
     return;
   }
-  if (!is_new && entry.start_unix_ms > born) {
-    BeginLife(state, backend, entry);
+  if (!is_new && entry.start_unix_ms > known_start_ms) {
+    BeginIncarnation(state, backend, entry);
     return;
   }
   const bool was_usable = !is_new && backend.server.entry_error.empty();
   const bool was_leaving = backend.server.leaving;
   // A write of the life before that came late: what the younger one said holds.
-  if (entry.start_unix_ms < born) {
+  if (entry.start_unix_ms < known_start_ms) {
     backend.server.revision = entry.revision;
     backend.server.entry_error.clear();
     LogBackend(state, backend.server, "kept", "entry of an earlier life");
@@ -166,18 +167,18 @@
 
 void SuspectBackend(State& state, Backend& backend, Duration length,
                     const std::string& why) {
-  Avoid(state, backend, &Backend::suspect_until, length, why);
+  AvoidBackend(state, backend, &Backend::suspect_until, length, why);
   ApplySuspicion(
       state,
       {.backend = backend.id, .until = backend.suspect_until, .failed = true});
 }
 
 void AvoidSlowBackend(State& state, Backend& backend, Duration length) {
-  Avoid(state, backend, &Backend::slow_until, length, "slow");
+  AvoidBackend(state, backend, &Backend::slow_until, length, "slow");
 }
 
 void ApplyBackoff(State& state, Backend& backend, Duration length) {
-  Avoid(state, backend, &Backend::slow_until, length, "rest");
+  AvoidBackend(state, backend, &Backend::slow_until, length, "rest");
 }
 
 BackendId IdOf(const BackendServer& server) {
@@ -198,11 +199,11 @@
 
 void OnListed(State& state, const BackendServer& server) {
   if (HasTombstoneSince(state, server.id, server.revision)) return;
-  const bool of_copy =
+  const bool is_restored =
       !state.backends.contains(server.id) && IsRestoredTombstone(state, server);
   Backend& backend = state.backends[server.id];
   if (server.revision < backend.server.revision) return;
-  const std::uint64_t hash = HashOf(server);
+  const std::uint64_t hash = HashEntry(server);
   const bool changed = hash != backend.entry_hash;
   if (changed || backend.gone_at) {
     RecordChange(
@@ -212,11 +213,11 @@
   backend.gone_at.reset();
   backend.server.revision = server.revision;
   if (!changed) return;
-  TakeEntry(state, backend, server);
+  ApplyEntry(state, backend, server);
   backend.entry_hash = hash;
   // Written since it was kept out.
   backend.tombstone_until.reset();
-  if (of_copy) KeepOut(state, backend);
+  if (is_restored) KeepOutRestored(state, backend);
 }
 
 void OnUnlisted(State& state, const BackendUnlisted& event) {
@@ -226,8 +227,8 @@
     return;
   }
   // Told late: it has come back since.
-  const bool told = event.revision.number != 0;
-  if (told && event.revision < it->second.server.revision) return;
+  const bool has_revision = event.revision.number != 0;
+  if (has_revision && event.revision < it->second.server.revision) return;
   RecordTombstone(state, event.id, event.revision);
   if (!it->second.gone_at) {
     RecordChange(state, {.id = event.id,
@@ -244,16 +245,16 @@
 }
 
 void OnAllListed(State& state, const BackendsListed& event) {
-  std::set<std::string> there;
+  std::set<std::string> listed;
   for (const BackendServer& it : event.backends) {
-    there.insert(it.id);
+    listed.insert(it.id);
     OnListed(state, it);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> unlisted;
   for (const auto& [name, backend] : state.backends) {
-    if (!there.contains(name)) gone.push_back(name);
+    if (!listed.contains(name)) unlisted.push_back(name);
   }
-  for (const std::string& it : gone) {
+  for (const std::string& it : unlisted) {
     // A copy may lack those that live.
     const bool certain = event.certain && !IsJustRestored(state);
     OnUnlisted(state,
@@ -266,15 +267,16 @@
 }
 
 void DropLapsedBackends(State& state) {
-  std::vector<std::string> gone;
+  std::vector<std::string> lapsed;
   for (const auto& [name, backend] : state.backends) {
-    if (backend.gone_at && *backend.gone_at <= state.now) gone.push_back(name);
+    if (backend.gone_at && *backend.gone_at <= state.now)
+      lapsed.push_back(name);
   }
-  for (const std::string& it : gone) OnUnlisted(state, {.id = it});
+  for (const std::string& it : lapsed) OnUnlisted(state, {.id = it});
   for (auto& [name, backend] : state.backends) {
-    const bool over =
+    const bool expired =
         backend.tombstone_until && *backend.tombstone_until <= state.now;
-    if (!over) continue;
+    if (!expired) continue;
     backend.tombstone_until.reset();
     LogBackend(state, backend.server, "listed", "still listed");
   }
@@ -284,37 +286,40 @@
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr) return;
   backend->consecutive_failures = 0;
-  backend->recent_responses = backend->recent_responses * (1 - kForgetting) + 1;
-  backend->recent_failed_responses *= 1 - kForgetting;
+  backend->recent_responses =
+      backend->recent_responses * (1 - kOutcomeDecay) + 1;
+  backend->recent_failed_responses *= 1 - kOutcomeDecay;
 }
 
 void RecordFailure(State& state, BackendId id, const std::string& why) {
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr) return;
   const int doublings =
-      std::min(backend->consecutive_failures++, kMostDoublings);
+      std::min(backend->consecutive_failures++, kMaxSuspicionDoublings);
   SuspectBackend(state, *backend, kFirstSuspicion * (1 << doublings), why);
 }
 
 void RecordFailedResponse(State& state, BackendId id) {
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr) return;
-  backend->recent_responses = backend->recent_responses * (1 - kForgetting) + 1;
+  backend->recent_responses =
+      backend->recent_responses * (1 - kOutcomeDecay) + 1;
   backend->recent_failed_responses =
-      backend->recent_failed_responses * (1 - kForgetting) + 1;
-  double answers = 0;
-  double bad = 0;
+      backend->recent_failed_responses * (1 - kOutcomeDecay) + 1;
+  double responses = 0;
+  double failed_responses = 0;
   for (const auto& [name, it] : state.backends) {
     if (it.server.service != backend->server.service || it.id == id) continue;
-    answers += it.recent_responses;
-    bad += it.recent_failed_responses;
+    responses += it.recent_responses;
+    failed_responses += it.recent_failed_responses;
   }
-  const double usual = answers > 0 ? bad / answers : 0;
-  const double own =
+  const double others_failure_share =
+      responses > 0 ? failed_responses / responses : 0;
+  const double own_failure_share =
       backend->recent_failed_responses / backend->recent_responses;
-  if (backend->recent_responses >= kLeastAnswers &&
-      own > usual + kMoreBadAnswers) {
-    SuspectBackend(state, *backend, kBadAnswersSuspicion, "bad_answers");
+  if (backend->recent_responses >= kMinResponsesToJudge &&
+      own_failure_share > others_failure_share + kExcessFailureShare) {
+    SuspectBackend(state, *backend, kFailureShareSuspicion, "bad_answers");
   }
 }
 
@@ -336,14 +341,15 @@
         std::max(backend->suspected_until, suspicion.until);
     return;
   }
-  const bool in_row = backend->suspected_until != Time{} &&
-                      state.now - backend->suspected_until < kRowWithin;
+  const bool in_row =
+      backend->suspected_until != Time{} &&
+      state.now - backend->suspected_until < kConsecutiveSuspicionWindow;
   backend->consecutive_suspicions =
       in_row ? backend->consecutive_suspicions + 1 : 0;
   const int doublings =
-      std::min(backend->consecutive_suspicions, kMostDoubtDoublings);
-  backend->suspected_until =
-      std::max(suspicion.until, state.now + kFirstDoubt * (1 << doublings));
+      std::min(backend->consecutive_suspicions, kMaxEngineSuspicionDoublings);
+  backend->suspected_until = std::max(
+      suspicion.until, state.now + kFirstEngineSuspicion * (1 << doublings));
   Log(state, "doubted",
       {{"backend", backend->server.id},
        {"times", std::to_string(backend->consecutive_suspicions + 1)},
@@ -362,33 +368,34 @@
   for (auto& entry : state.backends) {
     Backend& backend = entry.second;
     if (!IsOnProbation(state, backend)) continue;
-    const bool works_again =
+    const bool decodes_again =
         std::any_of(works.begin(), works.end(), [&](const ActiveRequest* it) {
           return it->backend == backend.id && it->decoding &&
                  it->started_at >= backend.suspected_until;
         });
-    if (!works_again) continue;
+    if (!decodes_again) continue;
     backend.suspected_until = Time{};
     backend.consecutive_suspicions = 0;
   }
 }
 
 std::set<BackendId> SuspectedBackends(const State& state) {
-  std::set<BackendId> suspects;
+  std::set<BackendId> suspected;
   for (const auto& [name, it] : state.backends) {
     const Time until = std::max(it.avoided_until(), it.suspected_until);
-    if (until > state.now) suspects.insert(it.id);
+    if (until > state.now) suspected.insert(it.id);
   }
   for (const auto& [address, member] : state.members) {
-    const auto& told = member.snapshot;
-    if (told.suspicions.empty() || !told.serving || !IsLive(state, member)) {
+    const auto& snapshot = member.snapshot;
+    if (snapshot.suspicions.empty() || !snapshot.serving ||
+        !IsLive(state, member)) {
       continue;
     }
-    for (const Suspicion& it : told.suspicions) {
-      if (it.until > state.now) suspects.insert(it.backend);
+    for (const Suspicion& it : snapshot.suspicions) {
+      if (it.until > state.now) suspected.insert(it.backend);
     }
   }
-  return suspects;
+  return suspected;
 }
 
 std::vector<const Backend*> OpenBackends(const State& state,
--- a/serving/src/server_words.cc
+++ b/serving/src/server_words.cc
@@ -7,12 +7,12 @@
 namespace {
 
 // That a server leaves is told with whole snapshots for so long.
-constexpr Duration kTellFor = seconds(10);
+constexpr Duration kPublishDuration = seconds(10);
 // Once its entry is gone, which may have lapsed only.
-constexpr Duration kForgetAfter = seconds(60);
+constexpr Duration kUnlistedLeavingRetention = seconds(60);
 // Others prefer other servers for so long to one that wants rest of this
 // daemon.
-constexpr Duration kLongestAvoided = seconds(1);
+constexpr Duration kMaxPublishedAvoidance = seconds(1);
 
 std::string RateText(std::optional<double> per_second) {
   if (!per_second) return "";
@@ -21,37 +21,39 @@
   return buf;
 }
 
-void TakeLimitWord(State& state, const Request& request,
-                   std::optional<double> named) {
-  const auto before = RateLimitOf(state, request.backend);
-  if (!before && !named) return;
+void ApplyAdvertisedRateLimit(State& state, const Request& request,
+                              std::optional<double> advertised) {
+  const auto previous = RateLimitOf(state, request.backend);
+  if (!previous && !advertised) return;
   // Of a request that was sent before the limit was heard, the answer may have
   // been begun before it was named.
-  const bool older =
-      !named &&
+  const bool may_be_outdated =
+      !advertised &&
       request.sent_at <= state.limits.at(request.backend).limit.received_at;
-  if (older) return;
+  if (may_be_outdated) return;
   ApplyRateLimit(state,
                  {.backend = request.backend,
-                  .per_second = named,
+                  .per_second = advertised,
                   .received_at = state.now},
                  /*own=*/true);
-  if (before == named) return;
-  const std::string what = !before ? "named" : !named ? "ended" : "changed";
+  if (previous == advertised) return;
+  const std::string change = !previous     ? "named"
+                             : !advertised ? "ended"
+                                           : "changed";
   Log(state, "server_limit",
       {{"backend", request.backend_name},
        {"life", FingerprintText(request.backend)},
-       {"what", what},
-       {"per_second", RateText(named)},
-       {"before", RateText(before)},
+       {"what", change},
+       {"per_second", RateText(advertised)},
+       {"before", RateText(previous)},
        {"request", request.metadata.id},
        {"sent_ms_ago", Millis(state.now - request.sent_at)}});
 }
 
-void TakeRest(State& state, const Request& request, Duration rest) {
+void RecordBackoff(State& state, const Request& request, Duration backoff) {
   Time& until = state.backoffs[request.backend];
   const bool is_new = until <= state.now;
-  until = std::max(until, state.now + rest);
+  until = std::max(until, state.now + backoff);
   Log(state, "server_rest",
       {{"backend", request.backend_name},
        {"life", FingerprintText(request.backend)},
@@ -60,7 +62,7 @@
        {"request", request.metadata.id}});
   Backend* backend = FindBackend(state, request.backend);
   if (backend == nullptr) return;
-  ApplyBackoff(state, *backend, std::min(rest, kLongestAvoided));
+  ApplyBackoff(state, *backend, std::min(backoff, kMaxPublishedAvoidance));
 }
 
 }  // namespace
@@ -69,14 +71,15 @@
   const auto found = state.attempts.find(event.attempt);
   if (found == state.attempts.end()) return;
   const Request& request = state.requests.at(found->second);
-  const ServerSignals& word = event.signals;
-  if (word.rate_limit || !event.rate_limit_unreadable) {
-    TakeLimitWord(state, request, word.rate_limit);
+  const ServerSignals& signals = event.signals;
+  if (signals.rate_limit || !event.rate_limit_unreadable) {
+    ApplyAdvertisedRateLimit(state, request, signals.rate_limit);
   }
-  if (word.leaving) {
+  if (signals.leaving) {
     ApplyLeaving(state, request.backend, request.metadata.id, /*own=*/true);
   }
-  if (word.backoff > Duration::zero()) TakeRest(state, request, word.backoff);
+  if (signals.backoff > Duration::zero())
+    RecordBackoff(state, request, signals.backoff);
 }
 
 void ApplyLeaving(State& state, BackendId life, const std::string& request,
@@ -101,28 +104,28 @@
 }
 
 std::set<BackendId> ServersBackingOff(const State& state) {
-  std::set<BackendId> resting;
+  std::set<BackendId> backing_off;
   for (const auto& [life, until] : state.backoffs) {
-    if (until > state.now) resting.insert(life);
+    if (until > state.now) backing_off.insert(life);
   }
-  return resting;
+  return backing_off;
 }
 
 bool RefuseIfAllBackingOff(State& state, Request& request,
                            const std::vector<const Backend*>& open) {
-  Time first = Time::max();
+  Time first_end = Time::max();
   for (const Backend* it : open) {
     if (!IsBackingOff(state, it->id)) return false;
-    first = std::min(first, state.backoffs.at(it->id));
+    first_end = std::min(first_end, state.backoffs.at(it->id));
   }
   if (open.empty()) return false;
   Log(state, "all_rest",
       {{"request", request.metadata.id},
        {"service", request.service},
        {"servers", std::to_string(open.size())},
-       {"left_ms", Millis(first - state.now)}});
+       {"left_ms", Millis(first_end - state.now)}});
   RefuseRequest(state, request, Refusal::kBackendsBackingOff,
-                first - state.now);
+                first_end - state.now);
   return true;
 }
 
@@ -141,8 +144,8 @@
 std::vector<BackendId> LeavingToPublish(State& state, bool news) {
   std::vector<BackendId> leaving;
   for (auto& [life, it] : state.leaving) {
-    const bool tells = state.now - it.received_at < kTellFor;
-    if (news ? it.unpublished : tells) leaving.push_back(life);
+    const bool publish_again = state.now - it.received_at < kPublishDuration;
+    if (news ? it.unpublished : publish_again) leaving.push_back(life);
     if (news) it.unpublished = false;
   }
   return leaving;
@@ -150,7 +153,7 @@
 
 void DropExpiredLeaving(State& state) {
   std::erase_if(state.leaving, [&](const auto& it) {
-    return state.now - it.second.received_at > kForgetAfter &&
+    return state.now - it.second.received_at > kUnlistedLeavingRetention &&
            FindBackend(state, it.first) == nullptr;
   });
 }
--- a/serving/test/drawn_failures_test.cc
+++ b/serving/test/drawn_failures_test.cc
@@ -20,21 +20,21 @@
 using test::DrawnStep;
 
 // Of drawn steps.
-constexpr int kKinds = 15;
+constexpr int kStepKinds = 15;
 
 // Plays drawn steps against a daemon and holds what must always hold.
-class Player {
+class FailureScenario {
  public:
-  Player() {
-    daemon_.Observe([this](const Effects& effects) { Check(effects); });
+  FailureScenario() {
+    daemon_.Observe([this](const Effects& effects) { CheckEffects(effects); });
   }
 
-  void Play(const DrawnStep& step) {
+  void ApplyStep(const DrawnStep& step) {
     switch (step.kind) {
       case 0:
       case 1:
       case 2:
-        Ask(step);
+        SendRandomRequest(step);
         return;
       case 3:
         daemon_.AdvanceTime(milliseconds(1 + step.first));
@@ -53,25 +53,25 @@
                             .certain = step.second % 3 != 0});
         return;
       case 7:
-        Peer(step);
+        FeedPeerSnapshot(step);
         return;
       case 9:
-        Report(step);
+        FeedReport(step);
         return;
       case 10:
       case 11:
-        AnswerOrder(step);
+        AnswerReservation(step);
         return;
       case 8:
         if (!open_.empty()) {
-          const RequestKey key = Pick(step.first);
+          const RequestKey key = PickOpenRequest(step.first);
           ended_.insert(key);
           open_.erase(key);
           daemon_.Feed(ClientDisconnected{.key = key});
         }
         return;
       default:
-        Answer(step);
+        AnswerAttempt(step);
     }
   }
 
@@ -79,14 +79,15 @@
   void Finish() {
     daemon_.AdvanceTime(seconds(40));
     for (const RequestKey it : open_) {
-      Violate("request " + std::to_string(it) + " never ended");
+      AddViolation("request " + std::to_string(it) + " never ended");
     }
-    for (const std::string& it : tickets_) Violate("memory left: " + it);
+    for (const std::string& it : reservations_)
+      AddViolation("memory left: " + it);
   }
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  void Ask(const DrawnStep& step) {
+  void SendRandomRequest(const DrawnStep& step) {
     static const std::vector<std::string> kRoutes{"stream", "stream", "once",
                                                   "safe", "once-stream"};
     static const std::vector<std::int64_t> kPrompts{
@@ -101,19 +102,20 @@
   }
 
   // Some engine sets memory aside, or does not.
-  void AnswerOrder(const DrawnStep& step) {
-    if (orders_.empty()) return;
-    auto it = orders_.begin();
-    std::advance(it, step.first % static_cast<int>(orders_.size()));
+  void AnswerReservation(const DrawnStep& step) {
+    if (pending_reservations_.empty()) return;
+    auto it = pending_reservations_.begin();
+    std::advance(it,
+                 step.first % static_cast<int>(pending_reservations_.size()));
     const auto [attempt, index] = *it;
-    orders_.erase(it);
+    pending_reservations_.erase(it);
     daemon_.Feed(MemoryReservationAnswered{.attempt = attempt,
                                            .helper_index = index,
                                            .granted = step.second % 8 != 0});
   }
 
   // Some engine says how it does.
-  void Report(const DrawnStep& step) {
+  void FeedReport(const DrawnStep& step) {
     const auto& backends = daemon_.state().backends;
     if (backends.empty()) return;
     auto it = backends.begin();
@@ -122,41 +124,43 @@
                                       .slowdown = 1.0 + step.second % 4});
   }
 
-  RequestKey Pick(int draw) const {
+  RequestKey PickOpenRequest(int draw) const {
     auto it = open_.begin();
     std::advance(it, draw % static_cast<int>(open_.size()));
     return *it;
   }
 
-  void Answer(const DrawnStep& step) {
+  void AnswerAttempt(const DrawnStep& step) {
     if (sent_.empty()) return;
     auto it = sent_.begin();
     std::advance(it, step.first % static_cast<int>(sent_.size()));
     const AttemptId attempt = it->first;
     const RequestKey key = it->second;
-    constexpr int kAnswers = 8;
-    constexpr int kCut = 6;
-    int answer = step.second % kAnswers;
+    constexpr int kAnswerKinds = 8;
+    constexpr int kInterruptedAnswer = 6;
+    int answer = step.second % kAnswerKinds;
     const bool stream = routes_[key].find("stream") != std::string::npos;
-    if (answer == kAnswers - 1 && !stream) answer = 0;
+    if (answer == kAnswerKinds - 1 && !stream) answer = 0;
     // A stream that has begun can't say any more that it did not run.
-    if (answer >= 3 && answer < kCut && begun_.contains(attempt)) answer = kCut;
+    if (answer >= 3 && answer < kInterruptedAnswer &&
+        started_streams_.contains(attempt))
+      answer = kInterruptedAnswer;
     // All but an event of a stream end the attempt.
-    if (answer != kAnswers - 1) sent_.erase(it);
+    if (answer != kAnswerKinds - 1) sent_.erase(it);
     switch (answer) {
       case 0:
-        Ran(key);
+        RecordRun(key);
         daemon_.Feed(AttemptAnswered{
             .attempt = attempt, .kind = AnswerKind::kSuccess, .status = 200});
         break;
       case 1:
-        Ran(key);
+        RecordRun(key);
         daemon_.Feed(AttemptAnswered{
             .attempt = attempt, .kind = AnswerKind::kFailure, .status = 500});
         break;
       case 2:
         // Ran, with a status that would say that it did not.
-        Ran(key);
+        RecordRun(key);
         daemon_.Feed(AttemptAnswered{
             .attempt = attempt, .kind = AnswerKind::kFailure, .status = 503});
         break;
@@ -173,19 +177,19 @@
             AttemptFailed{.attempt = attempt, .error = AttemptError::kNotSent});
         break;
       case 6:
-        Ran(key);
+        RecordRun(key);
         daemon_.Feed(AttemptFailed{.attempt = attempt,
                                    .error = AttemptError::kInterrupted});
         break;
       default:
-        Ran(key);
-        begun_.insert(attempt);
+        RecordRun(key);
+        started_streams_.insert(attempt);
         daemon_.Feed(StreamEvent{.attempt = attempt,
                                  .id = "e" + std::to_string(++events_)});
     }
   }
 
-  void Peer(const DrawnStep& step) {
+  void FeedPeerSnapshot(const DrawnStep& step) {
     LoadSnapshot snapshot = test::PeerSnapshot(++sequence_);
     snapshot.serving = step.first % 2 == 0;
     if (step.first % 3 == 0) {
@@ -204,41 +208,43 @@
     daemon_.Feed(SnapshotReceived{snapshot});
   }
 
-  void Ran(RequestKey key) { ran_.insert(key); }
+  void RecordRun(RequestKey key) { possibly_run_.insert(key); }
 
-  void Check(const Effects& effects) {
+  void CheckEffects(const Effects& effects) {
     for (const Effect& it : effects) {
       std::visit(
-          Overloaded{[&](const StartAttempt& effect) { OnSend(effect); },
-                     [&](const CancelAttempt& effect) {
-                       // It may have run, unless its own word says otherwise.
-                       const auto found = sent_.find(effect.attempt);
-                       if (found != sent_.end()) ran_.insert(found->second);
-                       sent_.erase(effect.attempt);
-                     },
-                     [&](const DeliverAnswer& effect) { End(effect.key); },
-                     [&](const EndStream& effect) { End(effect.key); },
-                     [&](const AbortResponse& effect) { End(effect.key); },
-                     [&](const Refuse& effect) {
-                       const bool promise = effect.status == 503 ||
-                                            effect.status == 429 ||
-                                            effect.status == 421;
-                       if (promise && ran_.contains(effect.key)) {
-                         Violate("503 after a run");
-                       }
-                       End(effect.key);
-                     },
-                     [&](const ReserveMemory& effect) {
-                       tickets_.insert(effect.reservation_id);
-                       orders_.insert({effect.attempt, effect.helper_index});
-                       if (effect.lease_duration > milliseconds(4000)) {
-                         Violate("memory held for too long");
-                       }
-                     },
-                     [&](const ReleaseMemory& effect) {
-                       tickets_.erase(effect.reservation_id);
-                     },
-                     [](const auto&) {}},
+          Overloaded{
+              [&](const StartAttempt& effect) { OnSend(effect); },
+              [&](const CancelAttempt& effect) {
+                // It may have run, unless its own word says otherwise.
+                const auto found = sent_.find(effect.attempt);
+                if (found != sent_.end()) possibly_run_.insert(found->second);
+                sent_.erase(effect.attempt);
+              },
+              [&](const DeliverAnswer& effect) { RecordEnd(effect.key); },
+              [&](const EndStream& effect) { RecordEnd(effect.key); },
+              [&](const AbortResponse& effect) { RecordEnd(effect.key); },
+              [&](const Refuse& effect) {
+                const bool says_not_run = effect.status == 503 ||
+                                          effect.status == 429 ||
+                                          effect.status == 421;
+                if (says_not_run && possibly_run_.contains(effect.key)) {
+                  AddViolation("503 after a run");
+                }
+                RecordEnd(effect.key);
+              },
+              [&](const ReserveMemory& effect) {
+                reservations_.insert(effect.reservation_id);
+                pending_reservations_.insert(
+                    {effect.attempt, effect.helper_index});
+                if (effect.lease_duration > milliseconds(4000)) {
+                  AddViolation("memory held for too long");
+                }
+              },
+              [&](const ReleaseMemory& effect) {
+                reservations_.erase(effect.reservation_id);
+              },
+              [](const auto&) {}},
           it);
     }
   }
@@ -246,40 +252,42 @@
   void OnSend(const StartAttempt& effect) {
     sent_[effect.attempt] = effect.key;
     const std::string& route = routes_[effect.key];
-    const bool once = route == "once" || route == "once-stream";
-    if (once && ran_.contains(effect.key)) Violate("sent after a run");
-    if (ended_.contains(effect.key)) Violate("sent after its end");
-    if (effect.time_left <= Duration::zero()) Violate("sent without time");
+    const bool runs_once = route == "once" || route == "once-stream";
+    if (runs_once && possibly_run_.contains(effect.key))
+      AddViolation("sent after a run");
+    if (ended_.contains(effect.key)) AddViolation("sent after its end");
+    if (effect.time_left <= Duration::zero()) AddViolation("sent without time");
     const auto it = daemon_.state().backends.find(effect.instance);
     if (it == daemon_.state().backends.end() || it->second.server.leaving) {
-      Violate("sent to a leaving backend server");
+      AddViolation("sent to a leaving backend server");
     }
     for (const PrefillHelper& helper : effect.helpers) {
       const std::string id = helper.address.substr(0, helper.address.find(':'));
       const auto found = daemon_.state().backends.find(id);
       if (found == daemon_.state().backends.end() ||
           found->second.server.leaving) {
-        Violate("begun with a helper that leaves");
+        AddViolation("begun with a helper that leaves");
       }
     }
   }
 
-  void End(RequestKey key) {
-    if (!ended_.insert(key).second) Violate("two ends");
+  void RecordEnd(RequestKey key) {
+    if (!ended_.insert(key).second) AddViolation("two ends");
     open_.erase(key);
   }
 
-  void Violate(const std::string& what) { violations_.push_back(what); }
+  void AddViolation(const std::string& what) { violations_.push_back(what); }
 
   Daemon daemon_;
   std::map<RequestKey, std::string> routes_;
   std::set<RequestKey> open_;
   std::set<RequestKey> ended_;
-  std::set<RequestKey> ran_;
+  std::set<RequestKey> possibly_run_;
   std::map<AttemptId, RequestKey> sent_;
-  std::set<AttemptId> begun_;
-  std::set<std::string> tickets_;
-  std::set<std::pair<AttemptId, std::size_t>> orders_;  // not answered
+  std::set<AttemptId> started_streams_;
+  std::set<std::string> reservations_;
+  std::set<std::pair<AttemptId, std::size_t>>
+      pending_reservations_;  // not answered
   std::vector<std::string> violations_;
   std::uint64_t sequence_ = 0;
   int events_ = 0;
@@ -289,15 +297,15 @@
   // Without other wishes every run draws the same sequences.
   setenv("RC_PARAMS", "seed=20261202 max_success=600 max_size=120",
          /*overwrite=*/0);
-  const bool held = rc::check("serving holds its rules", [] {
+  const bool passed = rc::check("serving holds its rules", [] {
     const auto steps =
-        *rc::gen::container<std::vector<DrawnStep>>(AnyStep(kKinds));
-    Player player;
-    for (const DrawnStep& it : steps) player.Play(it);
-    player.Finish();
-    if (!player.violations().empty()) RC_FAIL(player.violations().front());
+        *rc::gen::container<std::vector<DrawnStep>>(AnyStep(kStepKinds));
+    FailureScenario scenario;
+    for (const DrawnStep& it : steps) scenario.ApplyStep(it);
+    scenario.Finish();
+    if (!scenario.violations().empty()) RC_FAIL(scenario.violations().front());
   });
-  CHECK(held);
+  CHECK(passed);
 }
 
 }  // namespace
--- a/serving/test/server_rest_test.cc
+++ b/serving/test/server_rest_test.cc
@@ -8,23 +8,24 @@
 namespace {
 
 TEST_CASE("Few daemons send nothing to a server that said that it leaves") {
-  SimulatedFleet hall(kSmallFleet);
-  hall.SetLeaving("llm4");
-  hall.SetLeaving("llm7");
-  hall.SetLeaving("app1");
-  const LoadResult outcome =
-      RunLoad(hall, kSmallFleet.daemons, {.prompts = 60, .calls = 12});
-  CheckServerLimitsHeld(hall);
-  CHECK(outcome.answered == outcome.sent);
+  SimulatedFleet fleet(kSmallFleet);
+  fleet.SetLeaving("llm4");
+  fleet.SetLeaving("llm7");
+  fleet.SetLeaving("app1");
+  const LoadResult result =
+      RunLoad(fleet, kSmallFleet.daemons, {.prompts = 60, .calls = 12});
+  CheckServerLimitsHeld(fleet);
+  CHECK(result.answered == result.sent);
 }
 
 TEST_CASE("Many daemons send nothing to a server that said that it leaves") {
-  SimulatedFleet hall(kMediumFleet);
-  for (const char* it : {"llm4", "llm22", "llm30", "app1"}) hall.SetLeaving(it);
-  const LoadResult outcome =
-      RunLoad(hall, kMediumFleet.daemons, {.prompts = 120, .calls = 30});
-  CheckServerLimitsHeld(hall);
-  CHECK(outcome.answered == outcome.sent);
+  SimulatedFleet fleet(kMediumFleet);
+  for (const char* it : {"llm4", "llm22", "llm30", "app1"})
+    fleet.SetLeaving(it);
+  const LoadResult result =
+      RunLoad(fleet, kMediumFleet.daemons, {.prompts = 120, .calls = 30});
+  CheckServerLimitsHeld(fleet);
+  CHECK(result.answered == result.sent);
 }
 
 // With their parts of the slack of repeats: the first refusal of each server is
@@ -35,61 +36,63 @@
 }
 
 TEST_CASE("Few daemons leave a server its rest, and serve elsewhere") {
-  SimulatedFleet hall(WithSlack(kSmallFleet));
+  SimulatedFleet fleet(WithSlack(kSmallFleet));
   for (int i = 0; i < 6; ++i)
-    hall.SetBackoff("llm" + std::to_string(i), seconds(3));
-  hall.SetBackoff("app1", seconds(2));
-  const LoadResult outcome =
-      RunLoad(hall, kSmallFleet.daemons, {.prompts = 60, .calls = 12});
-  CheckServerLimitsHeld(hall);
-  CHECK(outcome.answered == outcome.sent);
+    fleet.SetBackoff("llm" + std::to_string(i), seconds(3));
+  fleet.SetBackoff("app1", seconds(2));
+  const LoadResult result =
+      RunLoad(fleet, kSmallFleet.daemons, {.prompts = 60, .calls = 12});
+  CheckServerLimitsHeld(fleet);
+  CHECK(result.answered == result.sent);
 }
 
 TEST_CASE("Many daemons leave a server its rest, and serve elsewhere") {
-  SimulatedFleet hall(WithSlack(kMediumFleet));
+  SimulatedFleet fleet(WithSlack(kMediumFleet));
   for (int i = 0; i < 32; i += 3) {
-    hall.SetBackoff("llm" + std::to_string(i), seconds(3));
+    fleet.SetBackoff("llm" + std::to_string(i), seconds(3));
   }
-  hall.SetBackoff("app1", seconds(2));
-  const LoadResult outcome =
-      RunLoad(hall, kMediumFleet.daemons, {.prompts = 120, .calls = 30});
-  CheckServerLimitsHeld(hall);
-  CHECK(outcome.answered == outcome.sent);
+  fleet.SetBackoff("app1", seconds(2));
+  const LoadResult result =
+      RunLoad(fleet, kMediumFleet.daemons, {.prompts = 120, .calls = 30});
+  CheckServerLimitsHeld(fleet);
+  CHECK(result.answered == result.sent);
 }
 
 TEST_CASE("A crowd of daemons heeds leaving and rest") {
-  SimulatedFleet hall(WithSlack(kLargeFleet));
-  for (const char* it : {"llm4", "llm22", "llm30", "app1"}) hall.SetLeaving(it);
+  SimulatedFleet fleet(WithSlack(kLargeFleet));
+  for (const char* it : {"llm4", "llm22", "llm30", "app1"})
+    fleet.SetLeaving(it);
   for (int i = 1; i < 60; i += 5) {
-    hall.SetBackoff("llm" + std::to_string(i), seconds(3));
+    fleet.SetBackoff("llm" + std::to_string(i), seconds(3));
   }
-  hall.SetBackoff("app2", seconds(2));
-  const LoadResult outcome =
-      RunLoad(hall, kLargeFleet.daemons,
+  fleet.SetBackoff("app2", seconds(2));
+  const LoadResult result =
+      RunLoad(fleet, kLargeFleet.daemons,
               {.prompts = 150, .calls = 40, .length = seconds(9)});
-  CheckServerLimitsHeld(hall);
-  CHECK(outcome.answered == outcome.sent);
+  CheckServerLimitsHeld(fleet);
+  CHECK(result.answered == result.sent);
 }
 
 // Those that place for all know of a rest or a leaving by others only.
 TEST_CASE("Leaving and rest are heeded while placers and daemons are lost") {
-  SimulatedFleet hall(WithSlack(kMediumFleet));
-  for (const char* it : {"llm4", "llm22", "app1"}) hall.SetLeaving(it);
+  SimulatedFleet fleet(WithSlack(kMediumFleet));
+  for (const char* it : {"llm4", "llm22", "app1"}) fleet.SetLeaving(it);
   for (int i = 0; i < 32; i += 5) {
-    hall.SetBackoff("llm" + std::to_string(i), seconds(3));
+    fleet.SetBackoff("llm" + std::to_string(i), seconds(3));
   }
   std::mt19937 random(5);
   int steps = 0;
-  (void)RunLoad(hall, kMediumFleet.daemons, {.prompts = 120, .calls = 30}, [&] {
-    if (++steps % 200 != 0) return;
-    for (const std::string& it : hall.state(steps % 40).dispatch.placers) {
-      hall.FreezeDaemon(std::stoi(it.substr(1)), steps % 400 != 0);
-    }
-    for (int i = 0; i < kMediumFleet.daemons; ++i) {
-      if (random() % 4 == 0) hall.RestartDaemon(i);
-    }
-  });
-  CheckServerLimitsHeld(hall);
+  (void)RunLoad(
+      fleet, kMediumFleet.daemons, {.prompts = 120, .calls = 30}, [&] {
+        if (++steps % 200 != 0) return;
+        for (const std::string& it : fleet.state(steps % 40).dispatch.placers) {
+          fleet.FreezeDaemon(std::stoi(it.substr(1)), steps % 400 != 0);
+        }
+        for (int i = 0; i < kMediumFleet.daemons; ++i) {
+          if (random() % 4 == 0) fleet.RestartDaemon(i);
+        }
+      });
+  CheckServerLimitsHeld(fleet);
 }
 
 }  // namespace
