--- a/serving/src/backends.cc
+++ b/serving/src/backends.cc
@@ -5,31 +5,37 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// A backend server's first failure keeps requests away for so long; each
-// further one doubles it.
+// Time for which requests avoid a backend server after its first failure; each
+// further failure in a row doubles it.
 constexpr Duration kFirstSuspicion = milliseconds(500);
 constexpr int kMaxSuspicionDoublings = 3;
-// Answers that are remembered: each new one takes away this part of the old.
+// Exponential decay of the response counts: each new response reduces the
+// weight of all earlier ones by this share.
 constexpr double kOutcomeDecay = 0.08;
-// A backend server that fails this part of its requests more than the others
-// of its service is suspect, from this many answers on.
+// A backend server is suspected if its share of failed responses exceeds that
+// of the other servers of its service by kExcessFailureShare. Fewer weighted
+// responses than kMinResponsesToJudge are too few to compare.
 constexpr double kExcessFailureShare = 0.25;
 constexpr double kMinResponsesToJudge = 4;
 constexpr Duration kFailureShareSuspicion = seconds(2);
-// At most this part of a service's backend servers is kept out at a time.
+// At most this share of a service's backend servers is avoided at a time.
 constexpr double kMaxAvoidedShare = 0.34;
-// Each further suspicion of an engine that has not written since the last keeps
-// it out twice as long, whichever daemon has it: one that hangs is met by
-// another of many daemons each time, and each takes it for the first. After a
-// while it counts as the first again.
+// Each further suspicion of an engine that has not decoded since the previous
+// one doubles the time that the engine is kept out, whichever daemon raised the
+// suspicion: of many daemons a different one meets a hanging engine each time,
+// and each would take it for a first failure. A suspicion that comes later than
+// kConsecutiveSuspicionWindow after the previous one ended counts as the first.
 constexpr Duration kFirstEngineSuspicion = milliseconds(500);
 constexpr int kMaxEngineSuspicionDoublings = 4;
 constexpr Duration kConsecutiveSuspicionWindow = seconds(10);
-// It comes back by one short prompt at a time until one of these is written,
-// and reads nothing for long ones, which fail with any of their engines; no
-// longer than this, as there may be no short prompt to show it.
+// A suspected engine returns on probation: it gets one short prompt at a time
+// until it decodes one of them. It prefills no part of a long prompt, which
+// fails with any of its engines. Probation is limited in time because there may
+// be no short prompt that could end it.
 constexpr Duration kProbation = seconds(2);
 
+// Counts the backend servers of `service` that are avoided now, and all of them
+// in `all`.
 std::size_t CountAvoided(const State& state, const std::string& service,
                          std::size_t& all) {
   std::size_t n = 0;
@@ -42,7 +48,8 @@
   return n;
 }
 
-// Unless too many of its service are avoided already.
+// Keeps requests away from `backend` for `length`, unless that would exceed
+// kMaxAvoidedShare of its service.
 void AvoidBackend(State& state, Backend& backend, Time Backend::*until,
                   Duration length, const std::string& why) {
   std::size_t all = 0;
@@ -71,12 +78,13 @@
        {"revision", std::to_string(server.revision.number)},
        {"state", new_state},
        {"why", why}},
-      // A first list may have thousands.
+      // The first list after a start may have thousands of entries.
       /*routine=*/new_state == "listed");
 }
 
-// Of all that an entry says, and of its revision within the era: a number may
-// be given out again in the next one, for another content.
+// Hashes all fields of an entry and its revision number. The fields count too,
+// since after a restore the store may reuse a revision number for another
+// content.
 std::uint64_t HashEntry(const BackendServer& it) {
   std::uint64_t hash = HashBytes(it.id, it.revision.number);
   for (const std::string* text :
@@ -91,15 +99,16 @@
   return hash;
 }
 
-// It went, and a copy of the store may have brought its entry back.
+// Keeps a backend server out of use whose entry was deleted and may be there
+// only because the store was restored from an older backup.
 void KeepOutRestored(State& state, Backend& backend) {
   if (backend.tombstone_until) return;
   backend.tombstone_until = RestoredTombstoneEnd(state);
-  LogBackend(state, backend.server, "kept_out", "listed by an older copy");
+  LogBackend(state, backend.server, "kept_out", "listed by an older backup");
 }
 
-// The entry names no backend server to use. What is known of the one that it
-// named before stays, for when a right entry comes again.
+// Applies an entry that names no usable backend server. The state of the server
+// that the entry named before is kept until a valid entry arrives.
 void ApplyFaultyEntry(State& state, Backend& backend,
                       const BackendServer& entry, const std::string& error) {
   const bool is_new = backend.server.id.empty();
@@ -112,8 +121,9 @@
   LogBackend(state, backend.server, "unusable", error);
 }
 
-// Another life under a known id. It holds and knows nothing of the one before:
-// neither a word of leaving, nor what was seen of it, nor what it had in work.
+// Replaces the state of a backend server by that of a new incarnation under the
+// same id. The new incarnation has none of the earlier one's requests, and
+// neither its leaving nor anything observed of it applies any more.
 void BeginIncarnation(State& state, Backend& backend,
                       const BackendServer& entry) {
   const BackendId previous_id = backend.id;
@@ -122,11 +132,11 @@
   backend.server.leaving = entry.leaving || state.leaving.contains(backend.id);
   state.has_unpublished_changes = true;
   LogBackend(state, entry, "started_again",
-             "born before: " + std::to_string(previous_start_ms));
+             "previous start_unix_ms: " + std::to_string(previous_start_ms));
   FailAttemptsAt(state, previous_id);
 }
 
-// A newer entry of that id than the one that is known.
+// Applies an entry that is newer than the known one of the same id.
 void ApplyEntry(State& state, Backend& backend, const BackendServer& entry) {
   const bool is_new = backend.server.id.empty();
   if (!entry.entry_error.empty()) {
@@ -144,17 +154,19 @@
   }
   const bool was_usable = !is_new && backend.server.entry_error.empty();
   const bool was_leaving = backend.server.leaving;
-  // A write of the life before that came late: what the younger one said holds.
+  // A late write of an earlier incarnation doesn't override the entry of the
+  // current one.
   if (entry.start_unix_ms < known_start_ms) {
     backend.server.revision = entry.revision;
     backend.server.entry_error.clear();
-    LogBackend(state, backend.server, "kept", "entry of an earlier life");
+    LogBackend(state, backend.server, "kept",
+               "entry of an earlier incarnation");
     return;
   }
   backend.server = entry;
   backend.id = IdOf(entry);
-  // A word of leaving is never taken back within one life, nor lost with an
-  // entry that lapsed.
+  // An incarnation never withdraws that it is leaving; this also outlasts an
+  // entry whose lease expired.
   backend.server.leaving =
       entry.leaving || was_leaving || state.leaving.contains(backend.id);
   if (!was_usable || was_leaving != backend.server.leaving) {
@@ -215,7 +227,7 @@
   if (!changed) return;
   ApplyEntry(state, backend, server);
   backend.entry_hash = hash;
-  // Written since it was kept out.
+  // The entry was rewritten after the restore, so that the server is in use.
   backend.tombstone_until.reset();
   if (is_restored) KeepOutRestored(state, backend);
 }
@@ -226,7 +238,7 @@
     RecordTombstone(state, event.id, event.revision);
     return;
   }
-  // Told late: it has come back since.
+  // A late deletion is ignored if the entry has been written again since.
   const bool has_revision = event.revision.number != 0;
   if (has_revision && event.revision < it->second.server.revision) return;
   RecordTombstone(state, event.id, event.revision);
@@ -255,7 +267,7 @@
     if (!listed.contains(name)) unlisted.push_back(name);
   }
   for (const std::string& it : unlisted) {
-    // A copy may lack those that live.
+    // A backup may lack entries of living backend servers.
     const bool certain = event.certain && !IsJustRestored(state);
     OnUnlisted(state,
                {.id = it, .certain = certain, .revision = event.revision});
--- a/serving/src/reports.cc
+++ b/serving/src/reports.cc
@@ -6,20 +6,24 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// Each engine is asked so often, by one daemon for all. A report costs as much
-// as a health check; engines turn slow for some seconds.
+// Interval at which one daemon on behalf of all fetches an engine's report. A
+// report costs as much as a health check, and engines turn slow for some
+// seconds at a time.
 constexpr Duration kReportInterval = milliseconds(1400);
-// An engine whose passes take so many times as long gets no new work: pauses of
-// short prompts keep in time up to about three times, first tokens and gangs
-// that wait for their slowest engine do not.
+// An engine whose steps take this many times as long as configured gets no new
+// work. The event gaps of short prompts stay within their limit up to a
+// slowdown of about three. First tokens don't, nor do groups of engines, which
+// wait for their slowest one.
 constexpr double kSlowdownThreshold = 1.5;
-// Longer than two reports are apart, so that one lost report changes nothing.
+// Time for which a report keeps a slow engine out. It exceeds two report
+// intervals, so that one lost report changes nothing.
 constexpr Duration kSlowAvoidance = milliseconds(3100);
 
-// Whether an engine's reports are this daemon's to fetch: the daemons that
-// serve agree on one without a word, and on another one when that is gone.
-// Of many daemons those of its data centre, as these hear each other; where
-// none is heard there, a placer, which hears all.
+// Whether this daemon fetches the reports of an engine. The serving daemons
+// agree on one of them without messages, by the highest hash, and on another
+// one when it is gone. In a large fleet the candidates are the daemons of the
+// engine's data centre, which receive each other's snapshots; if none of these
+// is live, they are the placers, which receive the snapshots of all.
 bool FetchesReportsOf(const State& state, const Backend& backend) {
   const std::string& data_centre = backend.server.data_centre;
   const bool all_place_locally = state.dispatch.place_locally;
@@ -45,7 +49,8 @@
                       });
 }
 
-// Whatever waits for that engine's first event knows that it lives.
+// Records for all attempts at the engine that its process runs, so that
+// requests which wait for a first event see that it is alive.
 void RecordEngineAlive(State& state, BackendId engine) {
   for (auto& [key, request] : state.requests) {
     if (request.attempt != 0 && request.backend == engine) {
@@ -63,8 +68,8 @@
     backend.report_due = state.now + kReportInterval;
     const bool is_engine = TimingOf(state, backend.server.service) != nullptr;
     if (!is_engine || !FetchesReportsOf(state, backend)) continue;
-    // A report is one of the requests that it takes; what it gets by its limit
-    // says enough of its pace.
+    // A report counts against a server's rate limit, and the requests that the
+    // limit admits show well enough how slow the engine is.
     if (IsRateLimited(state, backend.id) || IsBackingOff(state, backend.id))
       continue;
     state.effects.emplace_back(FetchEngineReport{
@@ -75,7 +80,7 @@
 void OnReport(State& state, const EngineReportReceived& event) {
   Backend* backend = FindBackend(state, event.backend);
   if (backend == nullptr) return;
-  // An answer of another life that is under way says nothing of this one.
+  // A late response of another incarnation says nothing about the current one.
   if (event.start_unix_ms != 0 &&
       event.start_unix_ms != backend->server.start_unix_ms) {
     Log(state, "report_of_another_life",
