--- a/serving/src/server_limits.cc
+++ b/serving/src/server_limits.cc
@@ -4,56 +4,66 @@
 #include "internal/steps.h"
 #include "scaleshed/serving/reducer.h"
 
-// A backend server in need names how many requests a second it takes from all
-// daemons together. Those that hear all works meter what it gets from all of
-// them: of few daemons each, of many the placers, which are asked then for
-// plain requests too. Two that decide within the time of a message may both
-// take the last start; it is owed by the next ones.
+// An overloaded backend server advertises a rate limit: the requests a second
+// that it accepts from all daemons together. The daemons that receive all
+// active requests meter the requests that the server gets from everyone: in a
+// small fleet every daemon, in a large one the placers, which then place plain
+// requests too. Two of them that decide within the latency of a message may
+// both take the last token; this leaves a token deficit that delays the
+// following requests.
 namespace scaleshed::serving::internal {
 namespace {
 
-// A server that takes fewer is asked so often all the same: only an answer
-// tells that its limit is over.
+// Requests a second that a server gets even if it advertises a lower rate
+// limit: only a response can tell that the limit has ended.
 constexpr double kMinRequestRate = 0.1;
-// A limit is told with whole snapshots for so long after it was last named.
+// Full snapshots carry a rate limit for this long after it was last advertised.
 constexpr Duration kPublishDuration = seconds(30);
-// That a limit is over is remembered so long: a daemon that seldom sends to
-// that server tells of the limit still.
+// The end of a rate limit is remembered this long, because a daemon that seldom
+// sends to the server may still publish the limit.
 constexpr Duration kEndedLimitRetention = seconds(600);
-// Of a life that isn't listed any more; an entry that lapsed may come back.
+// The rate limit of an incarnation without an entry is kept this long, because
+// an entry whose lease expired may come back.
 constexpr Duration kUnlistedLimitRetention = seconds(60);
-// A request begins to wait for a start only where one is expected within this
-// part of its objective: the rest is for what the estimate doesn't know. One
-// that waits is served, late too, as long as its caller waits.
+// A request begins to wait for a token only if one is expected within this
+// share of the time to its objective; the remainder covers what the estimate
+// doesn't include. Once it waits, it is served even past its objective, up to
+// its deadline.
 constexpr double kMaxWaitShare = 0.6;
-// For one that is past its objective already, sent again.
+// Wait that is accepted in any case, so that a retry that is already past its
+// objective can still wait.
 constexpr Duration kMinAcceptedWait = milliseconds(150);
+// Waiting requests of other daemons count only if their last snapshot is no
+// older than this.
 constexpr Duration kMaxQueueSnapshotAge = milliseconds(300);
 
+// The requests a second that all daemons together may send under this limit.
 double RateOf(const KnownLimit& limit) {
   return std::max(limit.limit.per_second.value_or(0), kMinRequestRate);
 }
 
-// Nothing: it has no limit.
+// Returns null if the backend server has no rate limit.
 KnownLimit* FindLimit(State& state, BackendId backend) {
   return IsRateLimited(state, backend) ? &state.limits.at(backend) : nullptr;
 }
 
-// The part of a server's rate that this daemon may use: it hears what all
-// others send, or knows only how many these are.
+// The share of a server's rate that this daemon may use: all of it if the
+// daemon receives all active requests of the others, an equal share otherwise,
+// when it knows only how many live daemons there are.
 double RateShare(const State& state) {
   return ReceivesAllActiveRequests(state)
              ? 1
              : 1 / static_cast<double>(LiveDaemons(state));
 }
 
+// Whether a request may start at the server of this limit now.
 bool HasToken(State& state, KnownLimit& limit) {
   limit.rate_limiter.SetRate(state.now, RateOf(limit) * RateShare(state));
   return limit.rate_limiter.HasToken(state.now);
 }
 
-// Requests at all daemons that wait for a start of that service and go before
-// that one.
+// Counts the requests at all daemons that wait for a rate limit of the same
+// service and go before `demand`.
 std::size_t AheadOf(const State& state, const PlacementDemand& demand) {
   const Time queue_key = QueueKeyOf(state, demand);
   std::size_t ahead = 0;
@@ -69,8 +79,8 @@
     if (awaits_rate_limit) add(it.request.service, QueueKeyOf(state, it));
   }
   for (const auto& [address, member] : state.members) {
-    // One that has fallen silent isn't waited for: it tells more often than
-    // that while anything waits there.
+    // The queue of a daemon that has gone silent is ignored: a daemon publishes
+    // more often than this while any request waits there.
     if (state.now - member.received_at > kMaxQueueSnapshotAge) continue;
     for (const WaitingRequest& it : member.snapshot.waiting) {
       if (it.awaits_rate_limit) add(it.service, it.queue_key);
@@ -79,7 +89,8 @@
   return ahead;
 }
 
-// Until a request may start that has so many before it.
+// Estimates the time until a request may start that has `ahead` requests before
+// it.
 Duration ExpectedWait(State& state, std::size_t ahead,
                       const std::vector<const Backend*>& open) {
   double rate = 0;
@@ -95,6 +106,7 @@
   return first_token + std::chrono::duration_cast<Duration>(queue_delay);
 }
 
+// The backend server of a placement and its prefill helpers.
 std::vector<BackendId> BackendsOf(const Placement& placed) {
   std::vector<BackendId> servers{placed.backend};
   servers.insert(servers.end(), placed.helpers.begin(), placed.helpers.end());
@@ -159,12 +171,13 @@
       within_limit.push_back(it);
     }
   }
-  // A long prompt takes all that an engine has, and its helpers get calls too.
-  // A daemon that doesn't hear the others knows too little to use them.
+  // Long prompts avoid rate-limited engines: such a prompt takes all that an
+  // engine has, and sends requests to its prefill helpers too. A daemon that
+  // doesn't receive all active requests knows too little to use these engines.
   const bool avoid_limited = demand.prefill_time > kShortPromptPrefillLimit ||
                              !ReceivesAllActiveRequests(state);
   if (!unlimited.empty() && avoid_limited) return unlimited;
-  // Those that wait for these starts take them first.
+  // Tokens go first to the requests that already wait for them.
   if (!within_limit.empty() && AheadOf(state, demand) >= within_limit.size())
     return unlimited;
   unlimited.insert(unlimited.end(), within_limit.begin(), within_limit.end());
@@ -213,7 +226,7 @@
         known.begin(), known.end(), [&](const ActiveRequest& other) {
           return other.id == it.id && other.backend == it.backend;
         });
-    // Counted as it was placed here.
+    // This daemon counted the start when it placed the request as a placer.
     const auto remote =
         state.dispatch.remote_placements.find({told.peer_address, it.id});
     const bool counted_at_placement =
@@ -242,7 +255,8 @@
   KnownLimit& limit = found->second;
   if (named.received_at < limit.limit.received_at) return;
   const bool changed = limit.limit.per_second != named.per_second;
-  // Named anew after it was over: what was sent meanwhile isn't known.
+  // The limit is advertised again after it had ended: the requests that were
+  // sent meanwhile are unknown, so that the metering starts afresh.
   if (!limit.limit.per_second) limit.rate_limiter = StartRateLimiter(state.now);
   limit.limit = named;
   limit.received_directly = limit.received_directly || own;
--- a/serving/src/server_words.cc
+++ b/serving/src/server_words.cc
@@ -6,14 +6,17 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// That a server leaves is told with whole snapshots for so long.
+// Full snapshots carry for this long that a server is leaving.
 constexpr Duration kPublishDuration = seconds(10);
-// Once its entry is gone, which may have lapsed only.
+// That an incarnation is leaving is remembered this long after it was learned,
+// and longer while the incarnation has an entry: an entry that is gone may come
+// back, if only its lease expired.
 constexpr Duration kUnlistedLeavingRetention = seconds(60);
-// Others prefer other servers for so long to one that wants rest of this
-// daemon.
+// Other daemons avoid a server that asked this daemon for a backoff at most
+// this long.
 constexpr Duration kMaxPublishedAvoidance = seconds(1);
 
+// Formats a rate limit for a log field; no limit: empty.
 std::string RateText(std::optional<double> per_second) {
   if (!per_second) return "";
   char buf[32];
@@ -21,12 +24,15 @@
   return buf;
 }
 
+// Applies the rate limit, or its absence, in the head of a response to
+// `request` and logs a change.
 void ApplyAdvertisedRateLimit(State& state, const Request& request,
                               std::optional<double> advertised) {
   const auto previous = RateLimitOf(state, request.backend);
   if (!previous && !advertised) return;
-  // Of a request that was sent before the limit was heard, the answer may have
-  // been begun before it was named.
+  // A response without a rate limit ends the known limit only if its request
+  // was sent after the limit was received. The server may have begun any
+  // earlier response before it advertised the limit.
   const bool may_be_outdated =
       !advertised &&
       request.sent_at <= state.limits.at(request.backend).limit.received_at;
@@ -50,6 +56,8 @@
        {"sent_ms_ago", Millis(state.now - request.sent_at)}});
 }
 
+// Records that the server of `request` asked for a backoff, and avoids the
+// server.
 void RecordBackoff(State& state, const Request& request, Duration backoff) {
   Time& until = state.backoffs[request.backend];
   const bool is_new = until <= state.now;
@@ -95,7 +103,7 @@
        {"heard_of", own ? "itself" : "peer"},
        {"request", request}});
   RecordBackendGone(state, life,
-                    own ? "its answer" : "a daemon that it answered");
+                    own ? "its own response" : "a response to another daemon");
 }
 
 bool IsBackingOff(const State& state, BackendId life) {
