--- a/serving/test/backend_lives_test.cc
+++ b/serving/test/backend_lives_test.cc
@@ -1,7 +1,8 @@
-// A backend server may start again under the id that it had, and anybody may
-// write its entry. What belongs to a life ends with it; an entry that names no
-// backend server takes only that one out of use; and it is the same whether it
-// is heard by a watch, by a list or from another daemon.
+// Tests of backend servers that restart under the same id, and of entries that
+// anybody may have written. State that belongs to an incarnation must end with
+// it, and an entry that names no usable backend server must take only that
+// server out of use. Both must hold whether the entry arrives by a watch, in a
+// list or from another daemon.
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -16,7 +17,7 @@
 
 constexpr std::uint64_t kStartUnixMs = 1'700'000'000'000;  // Unix ms
 
-// The ways by which an entry comes to a daemon.
+// The ways by which an entry reaches a daemon.
 enum class EntrySource { kWatch, kList, kRelay };
 constexpr NameTable<EntrySource, 3> kEntrySourceNames{{
     {EntrySource::kWatch, "watch"},
@@ -24,6 +25,7 @@
     {EntrySource::kRelay, "relay"},
 }};
 
+// An entry of the backend server app0.
 BackendServer App0Entry(std::uint64_t start_unix_ms, std::uint64_t revision) {
   return {.id = "app0",
           .service = "app",
@@ -33,6 +35,8 @@
           .start_unix_ms = start_unix_ms};
 }
 
+// Delivers an entry to the daemon in the given way. A list holds all other
+// known entries too.
 void DeliverEntry(Daemon& daemon, EntrySource source,
                   const BackendServer& entry) {
   switch (source) {
@@ -57,7 +61,7 @@
   }
 }
 
-// Whether some of a few requests go to app0.
+// Whether the daemon sends at least one of 12 requests to app0.
 bool IsApp0Used(Daemon& daemon) {
   bool is_used = false;
   for (int i = 0; i < 12; ++i) {
@@ -71,7 +75,7 @@
 
 Backend& App0(Daemon& daemon) { return daemon.state().backends.at("app0"); }
 
-TEST_CASE("A life begins with nothing of the one before") {
+TEST_CASE("A new incarnation inherits no state of the previous one") {
   for (const auto& [source, name] : kEntrySourceNames) {
     INFO(name);
     Daemon daemon;
@@ -85,12 +89,13 @@
     DeliverEntry(daemon, source, App0Entry(kStartUnixMs + 5000, 101));
     CHECK(IsApp0Used(daemon));
     CHECK(App0(daemon).recent_failed_responses == 0);
-    // What others tell of the life before names another backend server.
+    // The new incarnation has another id, so that whatever other daemons
+    // publish about the previous one doesn't apply to it.
     CHECK(App0(daemon).id != previous_id);
   }
 }
 
-TEST_CASE("Within one life a word of leaving is never taken back") {
+TEST_CASE("An incarnation that is leaving stays so whatever its entry says") {
   for (const auto& [source, name] : kEntrySourceNames) {
     INFO(name);
     Daemon daemon;
@@ -102,13 +107,14 @@
   }
 }
 
-TEST_CASE("An earlier life told late never replaces a later one") {
+TEST_CASE(
+    "A late entry of an earlier incarnation doesn't replace a later one") {
   for (const auto& [source, name] : kEntrySourceNames) {
     INFO(name);
     Daemon daemon;
     DeliverEntry(daemon, source, App0Entry(kStartUnixMs + 5000, 100));
     const BackendId id = App0(daemon).id;
-    // Told late, and written late.
+    // Revision 90 is delivered late; revision 101 was written late.
     for (const std::uint64_t revision : {90U, 101U}) {
       BackendServer earlier = App0Entry(kStartUnixMs, revision);
       earlier.leaving = true;
@@ -116,13 +122,14 @@
       CHECK(App0(daemon).id == id);
       CHECK(IsApp0Used(daemon));
     }
-    // All daemons agree on what the store holds.
+    // The revision is recorded all the same, so that all daemons agree on what
+    // the store holds.
     CHECK(App0(daemon).server.revision.number == 101);
   }
 }
 
 TEST_CASE(
-    "An entry that names none takes that one out until a right one comes") {
+    "An unusable entry takes its server out of use until a valid one arrives") {
   for (const auto& [source, name] : kEntrySourceNames) {
     INFO(name);
     Daemon daemon;
@@ -133,10 +140,10 @@
         {.id = "app0", .revision = {.number = 101}, .entry_error = "state: ?"});
     CHECK_FALSE(IsApp0Used(daemon));
     CHECK(App0(daemon).server.revision.number == 101);
-    // The others hold.
+    // The other backend servers stay in use.
     daemon.SendRequest("safe");
     CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
-    // That one has a foreign word of its own, and no life.
+    // An entry without start time is unusable if an incarnation is known.
     DeliverEntry(daemon, source, App0Entry(0, 102));
     CHECK_FALSE(IsApp0Used(daemon));
     DeliverEntry(daemon, source, App0Entry(kStartUnixMs, 103));
@@ -144,7 +151,7 @@
   }
 }
 
-TEST_CASE("A word of leaving outlasts an entry that names none") {
+TEST_CASE("A leaving server stays leaving across an unusable entry") {
   Daemon daemon;
   BackendServer leaving = App0Entry(kStartUnixMs, 100);
   leaving.leaving = true;
@@ -155,7 +162,7 @@
   CHECK_FALSE(IsApp0Used(daemon));
 }
 
-TEST_CASE("An entry that names none at first is known, and used once it does") {
+TEST_CASE("A server with an unusable first entry is used once it is valid") {
   for (const auto& [source, name] : kEntrySourceNames) {
     INFO(name);
     Daemon daemon;
@@ -170,7 +177,7 @@
   }
 }
 
-TEST_CASE("A report of another life says nothing of this one") {
+TEST_CASE("A report of another incarnation is ignored") {
   Daemon daemon;
   daemon.Feed(BackendListed{{.id = "llm0",
                              .service = "llm",
@@ -187,13 +194,15 @@
   CHECK(engine.slow);
 }
 
-// A prompt that one engine's memory does not hold, sent with tickets.
+// A prompt that exceeds one engine's memory, with the attempt that was sent and
+// the memory reservations made for it.
 struct PromptWithReservations {
   RequestKey key = 0;
   StartAttempt sent;
   std::vector<ReserveMemory> reservations;
 };
 
+// Sends a prompt that needs memory reservations, and grants them all.
 PromptWithReservations SendWithReservations(Daemon& daemon,
                                             const std::string& route) {
   PromptWithReservations prompt;
@@ -214,6 +223,7 @@
   return prompt;
 }
 
+// Counts the reservations that the effects create or extend.
 std::size_t CountReservations(const Effects& effects) {
   std::size_t n = 0;
   for (const Effect& it : effects)
@@ -221,16 +231,18 @@
   return n;
 }
 
+// Feeds the daemon a report of the engine, which shows that it is alive.
 void FeedReport(Daemon& daemon, const std::string& id) {
   daemon.Feed(
       EngineReportReceived{.backend = daemon.state().backends.at(id).id});
 }
 
-// An engine fell silent without closing while it was to write the answer to a
-// prompt that may run only once. The daemon waited for the client's deadline
-// and renewed the memory at the helpers all the while: 14 s after the run had
+// Guards against memory that stays reserved after a run has ended. An engine
+// went silent, without closing the connection, before it decoded a prompt that
+// may run only once. The daemon waited for the client's deadline and kept
+// extending the reservations at the prefill helpers, for 14 s after the run had
 // ended.
-TEST_CASE("Memory is not renewed for an engine that shows no sign of life") {
+TEST_CASE("Reservations aren't extended without a liveness signal") {
   for (const std::string route : {"once-stream", "stream"}) {
     INFO(route);
     Daemon daemon;
@@ -244,7 +256,7 @@
                 (fetch != nullptr && fetch->address == prompt.sent.address);
     }
     CHECK(fetched);
-    // It lives after all.
+    // A report shows that the engine is alive after all.
     daemon.ConfirmStore();
     FeedReport(daemon, prompt.sent.instance);
     daemon.AdvanceTime(milliseconds(100));
@@ -252,7 +264,7 @@
   }
 }
 
-TEST_CASE("Memory at an engine that started again is not set aside anew") {
+TEST_CASE("Memory isn't reserved again at a prefill helper that restarted") {
   Daemon daemon;
   const PromptWithReservations prompt = SendWithReservations(daemon, "stream");
   const std::string helper = prompt.reservations.front().address;
@@ -273,6 +285,7 @@
   }
 }
 
+// Lists a new incarnation of the engine that the attempt was sent to.
 void RestartEngine(Daemon& daemon, const StartAttempt& sent) {
   daemon.Feed(BackendListed{{.id = sent.instance,
                              .service = "llm",
@@ -282,7 +295,7 @@
                              .start_unix_ms = kStartUnixMs}});
 }
 
-TEST_CASE("What was in work at a life that is over is sent elsewhere") {
+TEST_CASE("A request running at an ended incarnation is sent elsewhere") {
   Daemon daemon;
   daemon.SendRequest("stream", 210'000);
   const StartAttempt sent = *daemon.FirstEffect<StartAttempt>();
@@ -295,8 +308,8 @@
   CHECK(daemon.FirstEffect<StartAttempt>()->attempt != sent.attempt);
 }
 
-TEST_CASE("What may be in work at the new life is left there") {
-  SECTION("sent a moment ago") {
+TEST_CASE("A request that a new incarnation may be running is left there") {
+  SECTION("sent shortly before the new entry") {
     Daemon daemon;
     daemon.SendRequest("stream", 210'000);
     const StartAttempt sent = *daemon.FirstEffect<StartAttempt>();
@@ -304,7 +317,7 @@
     RestartEngine(daemon, sent);
     CHECK(daemon.FirstEffect<CancelAttempt>() == nullptr);
   }
-  SECTION("not to be repeated") {
+  SECTION("not retryable after a possible run") {
     Daemon daemon;
     daemon.SendRequest("once-stream", 210'000);
     const StartAttempt sent = *daemon.FirstEffect<StartAttempt>();
--- a/serving/test/drawn_failures_test.cc
+++ b/serving/test/drawn_failures_test.cc
@@ -1,4 +1,5 @@
-// What must always hold, under drawn failures.
+// Property-based test of the invariants of serving under random sequences of
+// requests, responses, failures and time.
 
 #include <rapidcheck.h>
 
@@ -19,10 +20,12 @@
 using test::Daemon;
 using test::DrawnStep;
 
-// Of drawn steps.
+// The number of kinds of random steps.
 constexpr int kStepKinds = 15;
 
-// Plays drawn steps against a daemon and holds what must always hold.
+// Applies random steps to one daemon and checks the invariants after each of
+// them. A test calls ApplyStep for each step and then Finish; violations() must
+// stay empty.
 class FailureScenario {
  public:
   FailureScenario() {
@@ -75,14 +78,14 @@
     }
   }
 
-  // All ends with time.
+  // Checks that every request ends and all memory is released in time.
   void Finish() {
     daemon_.AdvanceTime(seconds(40));
     for (const RequestKey it : open_) {
       AddViolation("request " + std::to_string(it) + " never ended");
     }
     for (const std::string& it : reservations_)
-      AddViolation("memory left: " + it);
+      AddViolation("memory not released: " + it);
   }
   const std::vector<std::string>& violations() const { return violations_; }
 
@@ -101,7 +104,7 @@
     if (!ended_.contains(key)) open_.insert(key);
   }
 
-  // Some engine sets memory aside, or does not.
+  // Lets an engine grant or deny one of the requested memory reservations.
   void AnswerReservation(const DrawnStep& step) {
     if (pending_reservations_.empty()) return;
     auto it = pending_reservations_.begin();
@@ -114,7 +117,7 @@
                                            .granted = step.second % 8 != 0});
   }
 
-  // Some engine says how it does.
+  // Feeds the daemon a report of one of the backend servers.
   void FeedReport(const DrawnStep& step) {
     const auto& backends = daemon_.state().backends;
     if (backends.empty()) return;
@@ -141,11 +144,11 @@
     int answer = step.second % kAnswerKinds;
     const bool stream = routes_[key].find("stream") != std::string::npos;
     if (answer == kAnswerKinds - 1 && !stream) answer = 0;
-    // A stream that has begun can't say any more that it did not run.
+    // A server can't decline a request any more whose stream has started.
     if (answer >= 3 && answer < kInterruptedAnswer &&
         started_streams_.contains(attempt))
       answer = kInterruptedAnswer;
-    // All but an event of a stream end the attempt.
+    // Every answer ends the attempt, except for an event of a stream.
     if (answer != kAnswerKinds - 1) sent_.erase(it);
     switch (answer) {
       case 0:
@@ -159,7 +162,7 @@
             .attempt = attempt, .kind = AnswerKind::kFailure, .status = 500});
         break;
       case 2:
-        // Ran, with a status that would say that it did not.
+        // The request ran, although the status would say that it didn't.
         RecordRun(key);
         daemon_.Feed(AttemptAnswered{
             .attempt = attempt, .kind = AnswerKind::kFailure, .status = 503});
@@ -216,7 +219,8 @@
           Overloaded{
               [&](const StartAttempt& effect) { OnSend(effect); },
               [&](const CancelAttempt& effect) {
-                // It may have run, unless its own word says otherwise.
+                // A cancelled attempt counts as run: no response can say
+                // any more that it wasn't.
                 const auto found = sent_.find(effect.attempt);
                 if (found != sent_.end()) possibly_run_.insert(found->second);
                 sent_.erase(effect.attempt);
@@ -229,7 +233,7 @@
                                           effect.status == 429 ||
                                           effect.status == 421;
                 if (says_not_run && possibly_run_.contains(effect.key)) {
-                  AddViolation("503 after a run");
+                  AddViolation("refused as not run after a possible run");
                 }
                 RecordEnd(effect.key);
               },
@@ -238,7 +242,7 @@
                 pending_reservations_.insert(
                     {effect.attempt, effect.helper_index});
                 if (effect.lease_duration > milliseconds(4000)) {
-                  AddViolation("memory held for too long");
+                  AddViolation("memory reserved for too long");
                 }
               },
               [&](const ReleaseMemory& effect) {
@@ -254,9 +258,11 @@
     const std::string& route = routes_[effect.key];
     const bool runs_once = route == "once" || route == "once-stream";
     if (runs_once && possibly_run_.contains(effect.key))
-      AddViolation("sent after a run");
-    if (ended_.contains(effect.key)) AddViolation("sent after its end");
-    if (effect.time_left <= Duration::zero()) AddViolation("sent without time");
+      AddViolation("run-once request sent after a possible run");
+    if (ended_.contains(effect.key))
+      AddViolation("sent after the request ended");
+    if (effect.time_left <= Duration::zero())
+      AddViolation("sent with no time left");
     const auto it = daemon_.state().backends.find(effect.instance);
     if (it == daemon_.state().backends.end() || it->second.server.leaving) {
       AddViolation("sent to a leaving backend server");
@@ -266,13 +272,13 @@
       const auto found = daemon_.state().backends.find(id);
       if (found == daemon_.state().backends.end() ||
           found->second.server.leaving) {
-        AddViolation("begun with a helper that leaves");
+        AddViolation("sent with a leaving prefill helper");
       }
     }
   }
 
   void RecordEnd(RequestKey key) {
-    if (!ended_.insert(key).second) AddViolation("two ends");
+    if (!ended_.insert(key).second) AddViolation("request ended twice");
     open_.erase(key);
   }
 
@@ -293,11 +299,12 @@
   int events_ = 0;
 };
 
-TEST_CASE("What must hold holds under drawn failures") {
-  // Without other wishes every run draws the same sequences.
+TEST_CASE("Serving keeps its invariants under random failures") {
+  // The fixed seed makes every run use the same sequences, unless RC_PARAMS is
+  // set already.
   setenv("RC_PARAMS", "seed=20261202 max_success=600 max_size=120",
          /*overwrite=*/0);
-  const bool passed = rc::check("serving holds its rules", [] {
+  const bool passed = rc::check("serving keeps its invariants", [] {
     const auto steps =
         *rc::gen::container<std::vector<DrawnStep>>(AnyStep(kStepKinds));
     FailureScenario scenario;
--- a/serving/test/drawn_step.h
+++ b/serving/test/drawn_step.h
@@ -7,8 +7,9 @@
 
 namespace scaleshed::serving::test {
 
-// What the world outside may do next, as drawn numbers. What they mean is up to
-// the test.
+// One step of a property-based test: something that the environment of the
+// tested code does next, as random numbers. A test draws steps with AnyStep and
+// decides what the numbers mean.
 struct DrawnStep {
   int kind = 0;
   int first = 0;
@@ -19,7 +20,7 @@
   return out << step.kind << "(" << step.first << ", " << step.second << ")";
 }
 
-// Of `kinds` kinds.
+// Generates steps whose kind is below `kinds`.
 inline rc::Gen<DrawnStep> AnyStep(int kinds) {
   constexpr int kMost = 1000;
   return rc::gen::build<DrawnStep>(
--- a/serving/test/server_limits_test.cc
+++ b/serving/test/server_limits_test.cc
@@ -1,7 +1,8 @@
-// A backend server in need names how many requests a second it takes from all
-// daemons together. What it said in its answers was dropped: it got the
-// ordinary share of the traffic, 23 requests in 4 s where 2.7 a second were
-// wanted.
+// Tests that a whole fleet keeps to the rate limits that backend servers
+// advertise: the requests a second that a server accepts from all daemons
+// together. They guard against limits that are ignored: a server that
+// advertised 2.7 requests a second got its ordinary share of the traffic, 23
+// requests in 4 s.
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -12,15 +13,15 @@
 namespace scaleshed::serving::test {
 namespace {
 
-// Short prompts fill the first engines of an order: half of them, so that those
-// are among them.
+// Limits every second engine. Short prompts fill the engines in a certain
+// order; half of all engines include some of those that are filled first.
 void LimitEngines(SimulatedFleet& fleet, int engines, double per_second) {
   for (int i = 0; i < engines; i += 2) {
     fleet.SetRateLimit("llm" + std::to_string(i), per_second);
   }
 }
 
-// Every server of the prompts' service, and of the plain one.
+// Limits every server of the prompts' service and of the plain service.
 void LimitAllServers(SimulatedFleet& fleet,
                      const SimulatedFleetOptions& options, double engine_rate,
                      double plain_rate) {
@@ -32,6 +33,7 @@
   }
 }
 
+// The mean share of their rate limits that the servers of a service used.
 double MeanShareUsed(const SimulatedFleet& fleet, const std::string& service,
                      int servers) {
   double sum = 0;
@@ -41,7 +43,7 @@
   return sum / servers;
 }
 
-TEST_CASE("Few daemons keep to a server's limit together") {
+TEST_CASE("A small fleet keeps to a server's rate limit") {
   SimulatedFleet fleet(kSmallFleet);
   LimitEngines(fleet, kSmallFleet.engines, 1);
   fleet.SetRateLimit("app1", 1.5);
@@ -51,7 +53,7 @@
   CHECK(result.answered == result.sent);
 }
 
-TEST_CASE("Many daemons keep to a server's limit together") {
+TEST_CASE("A medium fleet keeps to a server's rate limit") {
   SimulatedFleet fleet(kMediumFleet);
   LimitEngines(fleet, kMediumFleet.engines, 1);
   fleet.SetRateLimit("app1", 2);
@@ -61,7 +63,7 @@
   CHECK(result.answered == result.sent);
 }
 
-TEST_CASE("A crowd of daemons keeps to a server's limit together") {
+TEST_CASE("A large fleet keeps to a server's rate limit") {
   SimulatedFleet fleet(kLargeFleet);
   LimitEngines(fleet, kLargeFleet.engines, 0.5);
   fleet.SetRateLimit("app1", 1);
@@ -72,8 +74,9 @@
   CHECK(result.answered == result.sent);
 }
 
-// What is asked for is twice what all servers take: these are used, what can't
-// be served is rejected at once, and the rest is served in its objective.
+// Sends twice the requests that the rate limits of all servers admit. The
+// limits must be used up, every request must be answered or rejected for the
+// rate limit, and at least nine in ten rejections must come at once.
 void CheckOverload(const SimulatedFleetOptions& options, const Load& load,
                    double engine_rate, double plain_rate) {
   SimulatedFleet fleet(options);
@@ -93,16 +96,18 @@
   CHECK(refused_at_once * 10 >= fleet.refused().size() * 9);
 }
 
-TEST_CASE("Few daemons use the limits of all servers, and reject the rest") {
+TEST_CASE("A small fleet uses up all rate limits and rejects the excess") {
   CheckOverload(kSmallFleet, {.prompts = 72, .calls = 12}, 2, 2);
 }
 
-TEST_CASE("Many daemons use the limits of all servers, and reject the rest") {
+TEST_CASE("A medium fleet uses up all rate limits and rejects the excess") {
   CheckOverload(kMediumFleet, {.prompts = 128, .calls = 16}, 2, 2);
 }
 
-// Each daemon may save a start of its own where each meters for itself.
-TEST_CASE("A burst after a quiet time finds no starts saved by each of many") {
+// Guards against a burst that exceeds the rate limits: if each daemon of a
+// fleet metered for itself, each would save up a token of its own in a quiet
+// time.
+TEST_CASE("A burst after a quiet time finds no tokens saved by each daemon") {
   SimulatedFleet fleet(kMediumFleet);
   LimitAllServers(fleet, kMediumFleet, 1, 1);
   (void)RunLoad(fleet, kMediumFleet.daemons,
@@ -113,8 +118,8 @@
   CheckServerLimitsHeld(fleet);
 }
 
-// Twice in a row the daemons that place for all fall silent.
-TEST_CASE("Limits are kept to while placers are lost") {
+// The placers freeze twice in a row.
+TEST_CASE("Rate limits hold while placers are lost") {
   SimulatedFleet fleet(kMediumFleet);
   LimitEngines(fleet, kMediumFleet.engines, 1);
   fleet.SetRateLimit("app1", 1);
@@ -133,7 +138,7 @@
   CheckServerLimitsHeld(fleet);
 }
 
-TEST_CASE("Limits are kept to while daemons are killed and start again") {
+TEST_CASE("Rate limits hold while daemons are killed and restarted") {
   for (const SimulatedFleetOptions& options : {kSmallFleet, kMediumFleet}) {
     SimulatedFleet fleet(options);
     LimitEngines(fleet, options.engines, 1);
@@ -147,8 +152,8 @@
       }
     });
     CheckServerLimitsHeld(fleet);
-    // A placer that has just started places as if it knew of no limit, and is
-    // told of each once.
+    // A placer that has just started places requests without knowing the rate
+    // limits, and learns each of them once from the daemons that know it.
     const std::size_t unaware_placements =
         fleet.log_line_count("placer_unaware");
     CHECK(unaware_placements < 400);
@@ -156,8 +161,9 @@
   }
 }
 
-// Words come, change and go while daemons are killed, freeze and are cut off.
-TEST_CASE("What servers say is kept to in any order of words and faults") {
+// Server signals appear, change and end at random while daemons are killed,
+// frozen and isolated.
+TEST_CASE("Server signals are obeyed in any order of signals and faults") {
   constexpr double kRates[] = {0, 0.1, 0.7, 2.5, 9, 1000};
   for (const SimulatedFleetOptions& options :
        {kSmallFleet,
@@ -199,7 +205,8 @@
           case 5:
             return fleet.SetRateLimit(server, std::nullopt);
           case 6:
-            // Some are to be left.
+            // Leaving is rarer than the other signals, as it never ends and
+            // some engines must remain.
             return one_of(4) == 0 ? fleet.SetLeaving(engine) : void();
           case 7:
             return fleet.SetBackoff(server, milliseconds(700) * one_of(5));
@@ -214,7 +221,8 @@
   }
 }
 
-TEST_CASE("A limit of none lets one in now and then, to hear when it is over") {
+TEST_CASE(
+    "A rate limit of zero admits some requests, so that its end is seen") {
   SimulatedFleet fleet(kSmallFleet);
   for (int i = 0; i < kSmallFleet.plain_servers; ++i) {
     fleet.SetRateLimit("app" + std::to_string(i), 0);
--- a/serving/test/server_rest_test.cc
+++ b/serving/test/server_rest_test.cc
@@ -1,13 +1,15 @@
-// Servers said in their answers that they leave, or that they want nothing from
-// a daemon for a while, and got the traffic's share all the same: requests 2.3
-// s after the word of leaving, 15 in a rest of 3 s.
+// Tests that a whole fleet sends nothing to servers that are leaving, and
+// nothing from a daemon that a server asked for a backoff. They guard against
+// signals that are ignored: servers kept their share of the traffic, with
+// requests 2.3 s after a server said that it is leaving and 15 requests in a
+// backoff of 3 s.
 
 #include "simulated_fleet_load.h"
 
 namespace scaleshed::serving::test {
 namespace {
 
-TEST_CASE("Few daemons send nothing to a server that said that it leaves") {
+TEST_CASE("A small fleet sends nothing to a leaving server") {
   SimulatedFleet fleet(kSmallFleet);
   fleet.SetLeaving("llm4");
   fleet.SetLeaving("llm7");
@@ -18,7 +20,7 @@
   CHECK(result.answered == result.sent);
 }
 
-TEST_CASE("Many daemons send nothing to a server that said that it leaves") {
+TEST_CASE("A medium fleet sends nothing to a leaving server") {
   SimulatedFleet fleet(kMediumFleet);
   for (const char* it : {"llm4", "llm22", "llm30", "app1"})
     fleet.SetLeaving(it);
@@ -28,14 +30,14 @@
   CHECK(result.answered == result.sent);
 }
 
-// With their parts of the slack of repeats: the first refusal of each server is
-// made good elsewhere.
+// Lets the daemons hold their shares of the retry slack, so that a retry
+// elsewhere makes up for the first refusal of each server.
 SimulatedFleetOptions WithSlack(SimulatedFleetOptions options) {
   options.hold_slack_share = true;
   return options;
 }
 
-TEST_CASE("Few daemons leave a server its rest, and serve elsewhere") {
+TEST_CASE("A small fleet backs off from servers and serves elsewhere") {
   SimulatedFleet fleet(WithSlack(kSmallFleet));
   for (int i = 0; i < 6; ++i)
     fleet.SetBackoff("llm" + std::to_string(i), seconds(3));
@@ -46,7 +48,7 @@
   CHECK(result.answered == result.sent);
 }
 
-TEST_CASE("Many daemons leave a server its rest, and serve elsewhere") {
+TEST_CASE("A medium fleet backs off from servers and serves elsewhere") {
   SimulatedFleet fleet(WithSlack(kMediumFleet));
   for (int i = 0; i < 32; i += 3) {
     fleet.SetBackoff("llm" + std::to_string(i), seconds(3));
@@ -58,7 +60,7 @@
   CHECK(result.answered == result.sent);
 }
 
-TEST_CASE("A crowd of daemons heeds leaving and rest") {
+TEST_CASE("A large fleet obeys leaving and backoff") {
   SimulatedFleet fleet(WithSlack(kLargeFleet));
   for (const char* it : {"llm4", "llm22", "llm30", "app1"})
     fleet.SetLeaving(it);
@@ -73,8 +75,8 @@
   CHECK(result.answered == result.sent);
 }
 
-// Those that place for all know of a rest or a leaving by others only.
-TEST_CASE("Leaving and rest are heeded while placers and daemons are lost") {
+// Placers learn of a server's backoff or leaving only from other daemons.
+TEST_CASE("Leaving and backoff are obeyed while placers and daemons are lost") {
   SimulatedFleet fleet(WithSlack(kMediumFleet));
   for (const char* it : {"llm4", "llm22", "app1"}) fleet.SetLeaving(it);
   for (int i = 0; i < 32; i += 5) {
--- a/serving/test/server_words_test.cc
+++ b/serving/test/server_words_test.cc
@@ -1,5 +1,5 @@
-// What backend servers say of themselves in their answers, as one daemon hears
-// it.
+// Tests how one daemon applies the signals that backend servers give in the
+// heads of their responses: rate limit, leaving and backoff.
 
 #include <catch2/catch.hpp>
 
@@ -8,8 +8,8 @@
 namespace scaleshed::serving::test {
 namespace {
 
-// The fields of the first line of that name among the last effects; empty:
-// none.
+// Returns the fields of the first log line of `event` among the last effects;
+// empty: there is none.
 std::map<std::string, std::string> FirstLogFields(const Daemon& daemon,
                                                   const std::string& event) {
   for (const Effect& it : daemon.effects()) {
@@ -20,19 +20,20 @@
   return {};
 }
 
-// The attempt of a request that is sent.
+// Sends a request and returns its attempt.
 AttemptId SendOne(Daemon& daemon) {
   daemon.SendRequest("stream");
   REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
   return daemon.FirstEffect<StartAttempt>()->attempt;
 }
 
+// A response head that advertises `rate_limit`, or none.
 ResponseHeadReceived HeadWithRateLimit(AttemptId attempt,
                                        std::optional<double> rate_limit) {
   return {.attempt = attempt, .signals = {.rate_limit = rate_limit}};
 }
 
-TEST_CASE("A limit is logged when it is named, changes and ends") {
+TEST_CASE("A rate limit is logged when it is advertised and changes") {
   Daemon daemon;
   const AttemptId first = SendOne(daemon);
   daemon.Feed(HeadWithRateLimit(first, 2.7));
@@ -45,12 +46,13 @@
   daemon.Feed(HeadWithRateLimit(first, 0.5));
   CHECK(FirstLogFields(daemon, "server_limit")["what"] == "changed");
   CHECK(daemon.state().limits.size() == 1);
-  // Sent before the limit was heard: its answer may be older than that.
+  // The request was sent before the limit was received, so that the server may
+  // have begun this response before it advertised the limit.
   daemon.Feed(HeadWithRateLimit(first, std::nullopt));
   CHECK(daemon.state().limits.size() == 1);
 }
 
-TEST_CASE("A limit ends by an answer without it, of a request sent since") {
+TEST_CASE("A response without rate limit to a later request ends the limit") {
   Daemon daemon;
   for (int i = 1; i < 6; ++i) daemon.ListBackend("llm", i, /*leaving=*/true);
   daemon.Feed(HeadWithRateLimit(SendOne(daemon), 50));
@@ -60,8 +62,9 @@
   CHECK(FirstLogFields(daemon, "server_limit")["what"] == "ended");
 }
 
-// A daemon that seldom sends to a server tells of a limit that is long over.
-TEST_CASE("An older word of another daemon doesn't bring a limit back") {
+// A daemon that seldom sends to a server may publish a rate limit that has
+// ended long ago.
+TEST_CASE("An older rate limit from another daemon doesn't return") {
   Daemon daemon;
   for (int i = 1; i < 6; ++i) daemon.ListBackend("llm", i, /*leaving=*/true);
   const AttemptId first = SendOne(daemon);
@@ -85,8 +88,8 @@
   CHECK(daemon.state().limits.at(engine).limit.per_second == 2.0);
 }
 
-// Reports are among the requests that a server counts.
-TEST_CASE("An engine that has named a limit isn't asked for reports") {
+// A server counts the fetching of a report against its rate limit.
+TEST_CASE("No reports are fetched from a rate-limited engine") {
   Daemon daemon;
   daemon.SendRequest("stream");
   const BackendId engine = daemon.state().requests.begin()->second.backend;
@@ -108,11 +111,13 @@
   CHECK(others > 0);
 }
 
+// A response head that says that the server is leaving.
 ResponseHeadReceived HeadWithLeaving(AttemptId attempt) {
   return {.attempt = attempt, .signals = {.leaving = true}};
 }
 
-// An entry of that life of the engine of that number.
+// An entry of the engine with number `engine`, of the incarnation that started
+// at `start_unix_ms`.
 BackendListed EngineEntry(int engine, std::uint64_t revision,
                           std::uint64_t start_unix_ms) {
   const std::string id = "llm" + std::to_string(engine);
@@ -124,12 +129,13 @@
            .start_unix_ms = start_unix_ms}};
 }
 
+// Whether the backend server has a usable entry and isn't leaving.
 bool TakesNewWork(Daemon& daemon, const std::string& id) {
   const Backend& backend = daemon.state().backends.at(id);
   return backend.server.entry_error.empty() && !backend.server.leaving;
 }
 
-TEST_CASE("A word of leaving outlasts an entry that lapses and comes back") {
+TEST_CASE("A leaving server stays leaving when its entry expires and returns") {
   Daemon daemon;
   for (int i = 1; i < 6; ++i) daemon.ListBackend("llm", i, /*leaving=*/true);
   daemon.Feed(EngineEntry(0, 100, 7));
@@ -141,14 +147,14 @@
   CHECK_FALSE(TakesNewWork(daemon, "llm0"));
   daemon.Feed(EngineEntry(0, 103, 7));
   CHECK_FALSE(TakesNewWork(daemon, "llm0"));
-  SECTION("A new life under its id begins without it") {
+  SECTION("A new incarnation under its id isn't leaving") {
     daemon.Feed(EngineEntry(0, 104, 8));
     CHECK(TakesNewWork(daemon, "llm0"));
   }
 }
 
 TEST_CASE(
-    "What another daemon tells of leaving counts before the entry is known") {
+    "Leaving published by another daemon applies before the entry is known") {
   Daemon daemon;
   const BackendServer server = EngineEntry(9, 100, 7).backend;
   LoadSnapshot snapshot = PeerSnapshot(1);
@@ -158,7 +164,7 @@
   CHECK_FALSE(TakesNewWork(daemon, "llm9"));
 }
 
-TEST_CASE("A request is refused at once where all its servers leave") {
+TEST_CASE("A request is refused at once if all its servers are leaving") {
   Daemon daemon;
   for (int i = 1; i < 3; ++i) daemon.ListBackend("app", i, /*leaving=*/true);
   daemon.SendRequest("safe");
@@ -168,6 +174,7 @@
   CHECK(daemon.FirstEffect<Refuse>()->reason == Refusal::kNoBackend);
 }
 
+// Declines an attempt with a head that asks for a backoff.
 void RefuseWithBackoff(Daemon& daemon, AttemptId attempt, Duration backoff) {
   daemon.Feed(ResponseHeadReceived{.attempt = attempt,
                                    .signals = {.backoff = backoff}});
@@ -175,7 +182,7 @@
       .attempt = attempt, .kind = AnswerKind::kNotRun, .status = 503});
 }
 
-TEST_CASE("A request is refused with what is left where all want rest") {
+TEST_CASE("A refusal for backoff says how long the shortest backoff lasts") {
   Daemon daemon;
   for (int i = 1; i < 3; ++i) daemon.ListBackend("app", i, /*leaving=*/true);
   daemon.SendRequest("safe");
@@ -195,7 +202,7 @@
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("A rest that is asked for again lasts as long as the longer one") {
+TEST_CASE("A backoff that is requested again ends with the later end") {
   Daemon daemon;
   const AttemptId first = SendOne(daemon);
   const BackendId server = daemon.state().requests.begin()->second.backend;
@@ -208,14 +215,15 @@
   CHECK(daemon.state().backoffs.at(server) == daemon.now() + seconds(3));
 }
 
-// Of many daemons, which asks that placer.
+// Makes the daemon request placements from the placer 2.2.2.2:2, as in a large
+// fleet.
 void UseRemotePlacer(Daemon& daemon) {
   daemon.state().dispatch.place_locally = false;
   daemon.state().dispatch.placers = {"2.2.2.2:2"};
 }
 
 TEST_CASE(
-    "Questions to a placer name who wants rest, and answers don't break it") {
+    "Placement requests name servers in backoff, which no response overrides") {
   Daemon daemon;
   UseRemotePlacer(daemon);
   const BackendId backing_off = daemon.state().backends.at("llm3").id;
@@ -225,7 +233,7 @@
   const PlacementRequest request =
       daemon.FirstEffect<RequestPlacement>()->request;
   CHECK(request.backing_off == std::vector<BackendId>{backing_off});
-  // Decided before the placer heard the question that names it.
+  // The placer decided before it received the request that names the server.
   PlacementResponse response{.peer_address = "2.2.2.2:2",
                              .incarnation = request.incarnation,
                              .id = key,
@@ -236,8 +244,9 @@
   CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
 }
 
-// A placer decides for a daemon from which servers want rest, and not from it.
-TEST_CASE("A placer leaves those alone that want rest from who asks") {
+// A server asks individual daemons for a backoff. A placer therefore goes by
+// the backoffs of the daemon that requests the placement, not by its own.
+TEST_CASE("A placer avoids servers that the requesting daemon backs off from") {
   Daemon placer;
   placer.state().dispatch.place_locally = true;
   PlacementRequest request{.peer_address = "2.2.2.2:2",
