--- a/serving/src/server_limits.cc
+++ b/serving/src/server_limits.cc
@@ -24,7 +24,7 @@
 constexpr Duration kEndedLimitRetention = seconds(600);
 // The rate limit of an incarnation without an entry is kept this long, because
 // an entry whose lease expired may come back.
-constexpr Duration kUnlistedLimitRetention = seconds(60);
+constexpr Duration kUnlistedRetention = seconds(60);
 // A request begins to wait for a token only if one is expected within this
 // share of the time to its objective; the remainder covers what the estimate
 // doesn't include. Once it waits, it is served even past its objective, up to
@@ -107,9 +107,10 @@
 }
 
 // The backend server of a placement and its prefill helpers.
-std::vector<BackendId> BackendsOf(const Placement& placed) {
-  std::vector<BackendId> servers{placed.backend};
-  servers.insert(servers.end(), placed.helpers.begin(), placed.helpers.end());
+std::vector<BackendId> BackendsOf(const Placement& placement) {
+  std::vector<BackendId> servers{placement.backend};
+  servers.insert(servers.end(), placement.helpers.begin(),
+                 placement.helpers.end());
   return servers;
 }
 
@@ -268,7 +269,7 @@
 
 std::vector<ServerLimit> RateLimitsToPublish(State& state, bool news) {
   std::vector<ServerLimit> limits;
-  for (auto& [life, it] : state.limits) {
+  for (auto& [id, it] : state.limits) {
     const bool publish_again =
         it.received_directly &&
         state.now - it.limit.received_at < kPublishDuration;
@@ -280,10 +281,10 @@
 
 void DropExpiredRateLimits(State& state) {
   std::erase_if(state.limits, [&](const auto& it) {
-    const auto& [life, limit] = it;
+    const auto& [id, limit] = it;
     const Duration age = state.now - limit.limit.received_at;
     if (!limit.limit.per_second) return age > kEndedLimitRetention;
-    return age > kUnlistedLimitRetention && FindBackend(state, life) == nullptr;
+    return age > kUnlistedRetention && FindBackend(state, id) == nullptr;
   });
 }
 
--- a/serving/src/server_words.cc
+++ b/serving/src/server_words.cc
@@ -11,7 +11,7 @@
 // That an incarnation is leaving is remembered this long after it was learned,
 // and longer while the incarnation has an entry: an entry that is gone may come
 // back, if only its lease expired.
-constexpr Duration kUnlistedLeavingRetention = seconds(60);
+constexpr Duration kUnlistedRetention = seconds(60);
 // Other daemons avoid a server that asked this daemon for a backoff at most
 // this long.
 constexpr Duration kMaxPublishedAvoidance = seconds(1);
@@ -113,8 +113,8 @@
 
 std::set<BackendId> ServersBackingOff(const State& state) {
   std::set<BackendId> backing_off;
-  for (const auto& [life, until] : state.backoffs) {
-    if (until > state.now) backing_off.insert(life);
+  for (const auto& [id, until] : state.backoffs) {
+    if (until > state.now) backing_off.insert(id);
   }
   return backing_off;
 }
@@ -151,9 +151,9 @@
 
 std::vector<BackendId> LeavingToPublish(State& state, bool news) {
   std::vector<BackendId> leaving;
-  for (auto& [life, it] : state.leaving) {
+  for (auto& [id, it] : state.leaving) {
     const bool publish_again = state.now - it.received_at < kPublishDuration;
-    if (news ? it.unpublished : publish_again) leaving.push_back(life);
+    if (news ? it.unpublished : publish_again) leaving.push_back(id);
     if (news) it.unpublished = false;
   }
   return leaving;
@@ -161,7 +161,7 @@
 
 void DropExpiredLeaving(State& state) {
   std::erase_if(state.leaving, [&](const auto& it) {
-    return state.now - it.second.received_at > kUnlistedLeavingRetention &&
+    return state.now - it.second.received_at > kUnlistedRetention &&
            FindBackend(state, it.first) == nullptr;
   });
 }
