--- a/serving/test/server_words_test.cc
+++ b/serving/test/server_words_test.cc
@@ -202,7 +202,7 @@
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("A backoff that is requested again ends with the later end") {
+TEST_CASE("A repeated backoff lasts until the later of the two ends") {
   Daemon daemon;
   const AttemptId first = SendOne(daemon);
   const BackendId server = daemon.state().requests.begin()->second.backend;
