--- a/serving/src/server_words.cc
+++ b/serving/src/server_words.cc
@@ -12,8 +12,8 @@
 // and longer while the incarnation has an entry: an entry that is gone may come
 // back, if only its lease expired.
 constexpr Duration kUnlistedRetention = seconds(60);
-// Other daemons avoid a server that asked this daemon for a backoff at most
-// this long.
+// Upper limit of the time for which other daemons avoid a server that asked
+// this daemon for a backoff.
 constexpr Duration kMaxPublishedAvoidance = seconds(1);
 
 // Formats a rate limit for a log field; no limit: empty.
