--- a/serving/include/scaleshed/serving/reducer.h
+++ b/serving/include/scaleshed/serving/reducer.h
@@ -10,23 +10,24 @@
 
 namespace scaleshed::serving {
 
-// All of a daemon's decisions: changes `state` by one event and tells what is
-// to be done. Reads no clock and does no input or output; the same events on
-// the same state give the same effects.
+// Makes all of a daemon's decisions: applies one event to `state` and returns
+// the effects to carry out. It reads no clock and does no input or output; the
+// same events on the same state give the same effects.
 Effects Reduce(State& state, const Event& event);
 
-// When Reduce() wants a Tick at the latest.
+// Returns the latest time at which Reduce() must get the next Tick.
 Time NextWake(const State& state);
 
-// Whether clients may be sent here: it knows a configuration that is fresh
-// enough for keys, and is not stopping.
+// Whether clients may be sent to this daemon: it has a configuration that is
+// fresh enough for requests with API keys, and it is not stopping.
 bool IsServing(const State& state);
 
-// Whether the newest configuration that is known lies in a history that the
-// store has lost, and the operators have not written it again.
+// Whether the newest known configuration belongs to a store epoch whose changes
+// the store lost in a restore, and the operators have not rewritten it yet.
 bool AwaitsConfigurationRewrite(const State& state);
 
-// The addresses that a client in `data_centre` may use, and for how long.
+// The daemons' addresses that a client may use, and how long it may cache them.
+// An addresses query of a client is answered with it.
 struct ClientAddresses {
   std::vector<std::string> addresses;
   Duration time_to_live{};
--- a/serving/include/scaleshed/serving/state.h
+++ b/serving/include/scaleshed/serving/state.h
@@ -25,183 +25,224 @@
 
 namespace scaleshed::serving {
 
+// What a daemon's decisions need to know of the daemon itself. The options
+// don't change while the process runs.
 struct ServingOptions {
-  std::string instance;      // its address for clients
-  std::string peer_address;  // for snapshots
+  std::string instance;      // this daemon's address for clients
+  std::string peer_address;  // this daemon's address for other daemons
   std::string data_centre;
   std::uint64_t incarnation = 1;  // rises with each start of the process
   std::uint64_t seed = 1;
-  double capacity = 1;  // of its machine, against those of the others
-  // A request with a key runs only while the configuration was the newest so
-  // short a time ago.
+  double capacity = 1;  // of its machine, relative to other daemons' machines
+  // A request with an API key runs only if the configuration was confirmed to
+  // be the newest at most this long ago.
   Duration key_freshness = seconds(5);
-  // What the store has taken is in force here within this: a configuration, or
-  // a backend server's word that it leaves.
+  // Limit on the time from a change in the store, such as a new configuration
+  // or a backend server that is leaving, until this daemon applies it.
   Duration propagation_limit = seconds(2);
-  // From the request to stop to the end of the process.
+  // Time from the request to stop until the process exits.
   Duration shutdown_grace = seconds(8);
   RetryBudgetOptions retry_budget;
 };
 
-// A backend server and what this daemon has seen of it.
+// A backend server that the store lists, and what this daemon has observed of
+// its current incarnation. A new incarnation under the same instance id
+// replaces it.
 struct Backend {
   BackendServer server;
   BackendId id = 0;
-  // Of its entry as the store holds it, whatever is kept of it here.
+  // Hash of the server's entry as the store holds it, which may differ from
+  // `server`.
   std::uint64_t entry_hash = 0;
-  // It had gone; a copy of the store lists it again. No longer than until then
-  // is it kept out for that.
+  // Set if the entry was deleted and a backup, from which the store was
+  // restored, lists it again: the server gets no requests for that reason until
+  // this time.
   std::optional<Time> tombstone_until;
-  // Set when its entry may have lapsed only because the store was away.
+  // Set when the entry disappeared from the store, possibly only because its
+  // lease expired while the store was unavailable.
   std::optional<Time> gone_at;
-  // New work is kept away: for what became of sends to it; for its reports.
+  // The server gets no new requests until these times: the first because of
+  // failed attempts, the second because of a slow engine's reports or a backoff
+  // that the server asked for.
   Time suspect_until{};
   Time slow_until{};
-  int consecutive_failures = 0;  // one after another
-  Time report_due{};             // an engine's, whoever asks for it
-  bool slow = false;             // as its last report told this daemon
-  // Of recent answers, falling with each new one: how many, and how many were
-  // failures.
+  int consecutive_failures = 0;  // failed attempts since the last success
+  Time report_due{};  // when an engine's next report is due at any daemon
+  bool slow = false;  // whether the last report here showed a slow engine
+  // Exponentially decaying counts of responses and of failed responses.
   double recent_responses = 0;
   double recent_failed_responses = 0;
-  // An engine's, whoever suspects it: until when it is kept out, and how often
-  // in a row it was before. Zero: never, or it has written since.
+  // For engines, with the suspicions of all daemons: the time until which the
+  // engine gets no new requests, and the number of suspicions in a row. Both
+  // are zero if no daemon suspected the engine, or if it has decoded since.
   Time suspected_until{};
   int consecutive_suspicions = 0;
 
+  // Returns the time until which this daemon's own observations keep new
+  // requests away from the server.
   Time avoided_until() const { return std::max(suspect_until, slow_until); }
 };
 
-// Another daemon, as it last told.
+// Another daemon: what it last published and when that was received. A full
+// snapshot replaces the content, an incremental one changes parts of it.
 struct Member {
   LoadSnapshot snapshot;
   Time received_at{};
 };
 
-// An entry of a backend server that changed, and when that was seen here.
+// A changed store entry of a backend server and when this daemon observed it.
+// A store poller keeps recent changes to relay them to the daemons of its data
+// centre.
 struct ObservedChange {
   BackendChange change;
   Time observed_at{};
-  bool relayed = false;  // to those that don't ask
+  bool relayed = false;  // to daemons that don't poll the store
 };
 
-// The same of what it holds for a content.
+// The crashes that the store holds for one request fingerprint, and when this
+// daemon observed them. They are relayed like an ObservedChange.
 struct ObservedCrashes {
   StoredCrashes crashes;
   Time observed_at{};
   bool relayed = false;
 };
 
+// A deleted store entry of a backend server. While it is kept, changes older
+// than `revision` don't bring the entry back.
 struct Tombstone {
   StoreRevision revision;
-  std::uint64_t start_unix_ms = 0;  // of the life that went; zero: not told
+  // Start time of the incarnation whose entry was deleted; zero if unknown.
+  std::uint64_t start_unix_ms = 0;
   Time observed_at{};
 };
 
-// What this daemon knows of the era that the store is in. The first one that is
-// heard after the daemon's start counts as no restore.
+// What this daemon knows of the current store epoch, which counts how often the
+// store was restored from a backup. The first epoch that a daemon observes
+// after its start doesn't count as a restore.
 struct StoreEpoch {
   std::uint64_t number = 0;
   bool known = false;
-  // The restore was heard of.
+  // When this daemon learned of the restore.
   std::optional<Time> restored_at;
-  // The first revision that was heard of: whatever is later was written since
-  // the restore.
+  // The first revision observed in this epoch. Entries with later revisions
+  // were written after the restore.
   std::uint64_t first_revision_number = 0;
-  // What the store holds, as far as this era's answers and relays tell.
+  // The configuration that the store holds according to this epoch's responses
+  // and relays.
   ConfigurationStamp stored_configuration;
-  // The operators have written their newest configuration again, or had the
-  // time for it.
+  // Whether the operators have rewritten their newest configuration since the
+  // restore, or the time for it has passed; `reconciled_at` ends that time.
   bool reconciled = true;
   Time reconciled_at{};
-  // The last era that the store itself says is settled; zero: not known.
+  // The last reconciled epoch that the store has recorded; zero if unknown.
+  // This daemon doesn't write the record before `record_due`.
   std::uint64_t recorded_reconciled = 0;
   Time record_due{};
-  // The revisions that are known here are of this era.
+  // The epoch of the revisions that this daemon knows.
   std::uint64_t revisions_epoch = 0;
-  // When a daemon that starts asked for its configuration: proved with a word
-  // of the others.
+  // When this daemon, right after its start, sent the query that its
+  // configuration answers. The confirmation takes effect once other daemons'
+  // snapshots show whether the store was just restored.
   std::optional<Time> first_confirmation;
 };
 
-// How this daemon keeps up with the store: by own questions, or by the relays
-// of the daemons of its data centre that put them.
+// How this daemon follows the store: by its own polls and watch, or by the
+// relays of the store pollers of its data centre.
 struct StoreFollowing {
-  // When all entries of backend servers were last known to be the newest.
+  // Freshness confirmation of the backend servers: when all their entries were
+  // last known to be the newest.
   Time backends_confirmed_at{};
-  // The store last spoke, to this daemon or to one that told of it.
+  // The store's last response to this daemon or to one that published it.
   Time last_response_at{};
-  // The first call made to it since it last spoke to this daemon.
+  // When this daemon sent the first query after the last one that the store
+  // responded to.
   std::optional<Time> unanswered_query_since;
-  Time recovered_at{};             // it spoke to this daemon after a silence
-  bool logged_as_lagging = false;  // as last logged
-  // When configurations that are not known here were proved to be the newest.
+  Time recovered_at{};  // first response to this daemon after unresponsiveness
+  bool logged_as_lagging = false;  // whether the last logged state was lagging
+  // Configurations that this daemon doesn't have yet, and when each was
+  // confirmed to be the newest.
   std::deque<std::pair<ConfigurationStamp, Time>> awaited_configurations;
   StoreEpoch epoch;
   bool started = false;
-  bool has_role = false;               // it is known who else is there
-  Time role_since{};                   // since when
-  bool watching = false;               // asks for its data centre
-  bool is_lead_poller = false;         // is the first of those who do
-  std::set<std::string> pollers;       // of its data centre, by peer address
-  Time poll_due{};                     // not before, by this daemon itself
-  Time unreachable_at{};               // its own last question failed
-  int consecutive_failures = 0;        // one after another
-  std::optional<Time> read_due;        // the configuration is known to be older
-  ConfigurationStamp read_wanted;      // than this
-  std::string read_from;               // who told of that
-  Time read_at{};                      // last
-  std::optional<Time> list_due;        // entries differ from an asker's
-  Time listed_at{};                    // last
-  std::deque<ObservedChange> changes;  // of the last seconds
-  std::deque<ObservedCrashes> crashes;  // of the last seconds
-  // What this daemon writes of the quarantine: not before; under way.
+  // Duties are assigned once the other daemons of the data centre are known,
+  // which they have been since `role_since`.
+  bool has_role = false;
+  Time role_since{};
+  bool watching = false;  // is a store poller: polls and watches the store
+  bool is_lead_poller = false;    // is the first of the store pollers
+  std::set<std::string> pollers;  // of this data centre, by peer address
+  Time poll_due{};                // earliest time of this daemon's next poll
+  Time unreachable_at{};          // when this daemon's last query failed
+  int consecutive_failures = 0;   // queries that failed since the last success
+  // Set while this daemon's configuration is known to be older than
+  // `read_wanted`: when to read the newer one. `read_from` is the peer that
+  // published it.
+  std::optional<Time> read_due;
+  ConfigurationStamp read_wanted;
+  std::string read_from;
+  Time read_at{};  // last read of the configuration
+  // Set when the entries here differ from a store poller's: when to list all.
+  std::optional<Time> list_due;
+  Time listed_at{};                     // last list of all entries
+  std::deque<ObservedChange> changes;   // observed in the last seconds
+  std::deque<ObservedCrashes> crashes;  // observed in the last seconds
+  // Saving of the quarantine's crashes: earliest time of the next write, and
+  // whether a write is in flight.
   Time save_due{};
   bool saving = false;
-  // The store's revision up to which all changes are known: what is older and
-  // not known here had gone by then.
+  // The store's revision up to which all changes are known. An entry that is
+  // unknown here and has an older revision was deleted by then.
   StoreRevision complete_up_to;
-  // Revisions at which entries went, so that older news don't bring them back.
+  // Deleted entries by id, kept so that older changes don't bring them back.
   std::map<std::string, Tombstone> tombstones;
-  // What was last told to those that don't ask.
+  // What this daemon last relayed to daemons that don't poll the store, and
+  // when.
   ConfigurationStamp relayed_configuration;
   Time relayed_confirmation{};
   Time relayed_at{};
-  // Daemons that had an entry, and when that was asked.
+  // Number of daemons with a store entry, and when that was queried.
   std::size_t daemon_entries = 0;
   Time daemon_entries_at{};
-  // When snapshots left, by sequence, of the last seconds.
+  // Sequence numbers and send times of the snapshots of the last seconds.
   std::deque<std::pair<std::uint64_t, Time>> sent_snapshots;
 };
 
-// A backend server at which a request's answer broke off: whether it is over is
-// asked, and what was at it by then counts as present at its end if it is.
+// A liveness check of a backend incarnation at which a response was
+// interrupted. It probes the server's address until the server proves alive or
+// its process proves ended. In the second case, a crash is recorded for every
+// request that was interrupted there.
 struct LivenessCheck {
   std::string address;
   Time since{};
   Time probe_due{};
-  int consecutive_refusals = 0;  // one after another
-  Time last_alive_at{};          // it last said something
-  // What broke off there, and the attempt that did: one that several servers
-  // worked on is asked about at each.
+  int consecutive_refusals = 0;  // refused connections in a row
+  Time last_alive_at{};          // last liveness signal
+  // The attempts that were interrupted at this server, by request fingerprint.
+  // An attempt that involved several servers has a check for each of them.
   std::map<std::uint64_t, AttemptId> attempts_by_fingerprint;
 };
 
-// A prompt of another daemon that this one places.
+// A prompt of another daemon for which this daemon, as its placer, decides the
+// placement. It is dropped when the other daemon withdraws it, stops requesting
+// it or publishes the active request that came of it.
 struct RemotePlacement {
   PlacementRequest request;
-  Duration prefill_time{};   // what the prompt takes on one engine
-  Time last_requested_at{};  // last asked
-  Time retry_at{};           // not before, while it waits
-  std::optional<Shortage> waits_for;
-  // Once placed: what that daemon will tell of it soon.
+  Duration prefill_time{};
+  Time last_requested_at{};           // when the last request for it came
+  Time retry_at{};                    // earliest next decision while it waits
+  std::optional<Shortage> waits_for;  // what it lacked at the last decision
+  // Set once it is placed; `active_request` is then what the other daemon is
+  // expected to publish of it soon.
   std::optional<Placement> placement;
-  std::vector<BackendId> rate_limits_counted;  // PlaceAnswer::counted
+  // See PlacementResponse::rate_limits_counted.
+  std::vector<BackendId> rate_limits_counted;
   ActiveRequest active_request;
   Time placed_at{};
 };
 
-// What this daemon last told of itself but for its work.
+// The fields of this daemon's last snapshot that describe the daemon itself
+// rather than its active requests. A difference from the current values makes a
+// new snapshot due.
 struct PublishedHeader {
   bool serving = false;
   bool polls_store = false;
@@ -213,39 +254,46 @@
   bool operator==(const PublishedHeader&) const = default;
 };
 
-// Who places prompts, and for whom.
+// Which daemons decide placements and for whom, and the prompts that this
+// daemon places for others. UpdatePlacementDuties() keeps it up to date.
 struct PlacementDuties {
-  // Few daemons: each hears all and places its own.
+  // True in a small fleet: every daemon receives the active requests of all
+  // others and places its own prompts.
   bool place_locally = true;
   bool is_hub = false;
-  std::vector<std::string> placers;  // by peer address, the first first
-  // Hubs that are asked while no placer answers, in this order.
+  std::vector<std::string> placers;  // peer addresses in order of preference
+  // Hubs that get placement requests while no placer responds, in this order.
   std::vector<std::string> fallback_placers;
-  // This daemon was asked as one of these, and places until then.
+  // This daemon got a request as a fallback placer and places for others until
+  // this time.
   Time fallback_until{};
-  // When the first of the questions under way counts as unanswered.
+  // When the earliest pending placement request times out.
   std::optional<Time> response_due;
-  // Placers that did not answer are passed over until then.
+  // Placers that didn't respond, and until when each is skipped.
   std::map<std::string, Time> placers_suspected_until;
-  // Of other daemons, by their peer address and their id.
+  // Prompts of other daemons, by the daemon's peer address and the request id.
   std::map<std::pair<std::string, std::uint64_t>, RemotePlacement>
       remote_placements;
 };
 
-// A limit as this daemon knows it, and what the server has got since.
+// A rate limit that a backend server advertises, and a token bucket over the
+// requests that all daemons together sent to the server.
 struct KnownLimit {
   ServerLimit limit;
   StartRateLimiter rate_limiter;
-  bool received_directly = false;  // it was named to this daemon
-  bool unpublished = false;        // to be told with the next snapshot
+  bool received_directly = false;  // advertised to this daemon itself
+  bool unpublished = false;        // goes into the next snapshot
 };
 
-// That a backend server said that it leaves.
+// Record that a backend server said that it is leaving. An incarnation never
+// withdraws this.
 struct KnownLeaving {
   Time received_at{};
-  bool unpublished = false;  // to be told with the next snapshot
+  bool unpublished = false;  // goes into the next snapshot
 };
 
+// Memory that an engine at `address` keeps free for a request under
+// `reservation_id`. The daemon renews the lease until the request ends.
 struct MemoryReservation {
   std::string address;
   std::string reservation_id;
@@ -254,10 +302,11 @@
   Time renew_at{};
 };
 
+// Stage that a request has reached at this daemon.
 enum class Phase {
-  kWaiting,    // for room
-  kReserving,  // memory at several engines
-  kRunning,    // at a backend server
+  kWaiting,    // waits for capacity or for a placement
+  kReserving,  // reserves memory at a group of engines
+  kRunning,    // has been sent to a backend server
 };
 inline constexpr NameTable<Phase, 3> kPhaseNames{{
     {Phase::kWaiting, "waiting"},
@@ -265,6 +314,9 @@
     {Phase::kRunning, "running"},
 }};
 
+// A client's request that this daemon serves, from its admission until the
+// response ends or fails. It has one attempt at a time and may have several in
+// sequence.
 struct Request {
   RequestKey key = 0;
   RequestMetadata metadata;
@@ -272,15 +324,15 @@
   std::string service;
   std::string account;
   Time arrived{};
-  Time due{};       // the objective
-  Time deadline{};  // the client's or the route's, whichever is first
+  Time due{};       // objective time for the first token
+  Time deadline{};  // the client's or the route's, whichever is earlier
   Phase phase = Phase::kWaiting;
-  Time retry_at{};                    // not before, while waiting
+  Time retry_at{};                    // earliest next decision while waiting
   std::optional<Shortage> waits_for;  // as last logged
-  std::string placer;                 // last asked; empty: none
+  std::string placer;  // peer address of the last placer used; empty: none
   bool placer_responded = false;
-  std::uint64_t attempt_number = 0;  // attempts so far
-  Duration prefill_time{};           // what its prompt takes on one engine
+  std::uint64_t attempt_number = 0;  // placements tried so far
+  Duration prefill_time{};
 
   AttemptId attempt = 0;  // zero: none
   BackendId backend = 0;
@@ -288,41 +340,46 @@
   ActiveRequest active_request;
   std::vector<MemoryReservation> memory_reservations;  // by helper
   Time progress_deadline{};
-  Time sent_at{};                           // the attempt in work
-  Duration expected_time_to_first_token{};  // of that attempt, when it was sent
-  Duration time_to_first_token{};           // what it took
-  Duration longest_event_gap{};             // pause between events
+  // Times of the current attempt; the expected time was computed at the send.
+  Time sent_at{};
+  Duration expected_time_to_first_token{};
+  Duration time_to_first_token{};
+  Duration longest_event_gap{};
   Time last_event_at{};
-  // Last that its backend server was seen to live, the send itself at first.
+  // Last liveness signal of the request's backend server; at first the send.
   Time backend_alive_at{};
-  Time probe_due{};       // not before, for a sign of it
-  int possible_runs = 0;  // sends that may have run, the one in work among them
+  Time probe_due{};         // earliest next liveness probe of that server
+  int possible_runs = 0;    // sends that may have run, with the current one
   int delivered_sends = 0;  // sends that reached a backend server
-  int declined_sends = 0;   // sends that did not run
+  int declined_sends = 0;   // sends that the server says it didn't run
   bool may_have_run = false;
-  bool retry_reserved = false;  // its next send is a repeat that is allowed
-  std::set<BackendId> excluded;
+  bool retry_reserved = false;   // the next send is a reserved retry
+  std::set<BackendId> excluded;  // not used again for this request
 
-  bool response_started = false;  // the client has got a part of the answer
+  bool response_started = false;  // the client has received a part of it
   std::string last_event_id;
 };
 
-// A request that came before this daemon knew by what to decide.
+// A request that arrived before this daemon knew a configuration and the
+// backend servers. It is admitted once they are known, and refused if that
+// takes too long.
 struct EarlyRequest {
   RequestArrived request;
   Time arrived{};
 };
 
-// How many daemons there are: that this one hears, itself among them; that it
-// knows by name from the store, without this one; that had an entry there when
-// they were last counted, by this daemon or one that told it.
+// How many daemons there are, by three sources of different freshness.
 struct DaemonCount {
-  std::size_t live = 0;
-  std::size_t listed = 0;
+  std::size_t live = 0;    // live daemons, including this one
+  std::size_t listed = 0;  // listed in the store, without this one
+  // Daemons with a store entry when this daemon, or one that published the
+  // count, last counted them.
   std::size_t entries = 0;
   bool operator==(const DaemonCount&) const = default;
 };
 
+// All that a daemon's decisions depend on. Reduce() changes it, one event at a
+// time; `effects` collects what the current event causes.
 struct State {
   explicit State(ServingOptions serving_options)
       : options(std::move(serving_options)),
@@ -331,13 +388,14 @@
 
   ServingOptions options;
   Time now{};
-  Time started_at{};  // its first event
-  Time ticked_at{};
-  Time roles_updated_at{};  // around, at the other daemons
+  Time started_at{};        // the first event
+  Time ticked_at{};         // the last tick
+  Time roles_updated_at{};  // the last update of duties
   std::mt19937_64 random;
 
   std::optional<ConfigurationIndex> configuration;
-  // When the configuration in force was last known to be the newest.
+  // Freshness confirmation of the configuration in force: when it was last
+  // known to be the newest.
   Time confirmed_at{};
   StoreFollowing store;
 
@@ -345,29 +403,30 @@
   Quarantine quarantine;
   bool has_unpublished_crashes = false;  // since the last snapshot
   std::map<BackendId, LivenessCheck> liveness_checks;
-  std::map<BackendId, Time> ended_incarnations;  // known to be over, since
-  std::map<BackendId, KnownLimit> limits;        // by life
-  std::map<BackendId, KnownLeaving> leaving;     // lives that said so
-  // Lives that asked this daemon for rest, and until when.
+  // Backend incarnations that are known to have ended, and since when.
+  std::map<BackendId, Time> ended_incarnations;
+  std::map<BackendId, KnownLimit> limits;
+  std::map<BackendId, KnownLeaving> leaving;
+  // Backend servers that this daemon backs off from, and until when.
   std::map<BackendId, Time> backoffs;
   std::map<std::string, Member> members;            // by peer address
   std::map<std::string, std::string> listed_peers;  // to their data centres
   bool peers_listed = false;
   PlacementDuties dispatch;
-  DaemonCount logged_daemon_count;                   // as last logged
+  DaemonCount logged_daemon_count;
   std::map<std::string, RetryBudget> retry_budgets;  // by service
   SlackShare slack_share;
 
-  std::deque<EarlyRequest> early_requests;  // in the order of their arrival
+  std::deque<EarlyRequest> early_requests;  // in order of arrival
   std::map<RequestKey, Request> requests;
   std::map<AttemptId, RequestKey> attempts;
-  std::uint64_t last_attempt_id = 0;  // of attempts
+  std::uint64_t last_attempt_id = 0;
 
-  std::uint64_t snapshot_sequence = 0;   // of snapshots
+  std::uint64_t snapshot_sequence = 0;
   bool has_unpublished_changes = false;  // since the last snapshot
   Time published_at{};
   std::map<std::uint64_t, ActiveRequest>
-      published_requests;                         // by id, as others know them
+      published_requests;  // by id, as the other daemons know them
   std::map<std::string, Time> full_snapshot_due;  // by peer address
   PublishedHeader published_header;
   std::vector<Suspicion> published_suspicions;
--- a/serving/src/internal/steps.h
+++ b/serving/src/internal/steps.h
@@ -10,41 +10,47 @@
 
 #include "scaleshed/serving/state.h"
 
-// The steps of the reducer, by subject. Each changes the state and appends to
-// its effects.
+// The steps of Reduce(), grouped by the file that implements them. A step
+// changes the state and appends to the state's effects.
 namespace scaleshed::serving::internal {
 
-// admission.cc: what comes from clients, and how requests end.
+// admission.cc: admits clients' requests and ends them.
+
 void AdmitRequest(State& state, const RequestArrived& event);
-// Takes those that came too early, once it is known by what to decide; refuses
-// those that waited too long for that.
+// Admits early requests once a configuration and the backend servers are known;
+// refuses early requests that waited too long.
 void AdmitEarlyRequests(State& state);
 void OnClientGone(State& state, const ClientDisconnected& event);
 void RefuseRequest(State& state, Request& request, Refusal why,
                    Duration retry_after);
-// Forgets a request whose answer is complete or given up.
+// Erases a request whose response is complete or was aborted.
 void EraseRequest(State& state, RequestKey key);
-// Ends the attempt at its backend server, if there is one.
+// Ends the request's current attempt, if there is one. `cancel` also aborts it
+// at its backend server.
 void EndAttempt(State& state, Request& request, bool cancel);
-// Gives up an attempt that was not sent; another is made after `pause`.
+// Drops an attempt that was not sent; the request is placed again after
+// `pause`.
 void Requeue(State& state, Request& request, Duration pause);
 
-// starting.cc: where and when requests go.
+// starting.cc: starts requests, or queues them until they can start.
+
 void TryStart(State& state, Request& request);
-// Decides by what this daemon itself knows.
+// Places a request by what this daemon itself knows, without a placer.
 void PlaceLocally(State& state, Request& request);
-// Begins an attempt where it was placed.
+// Begins an attempt at the backend servers that `placed` names.
 void StartPlacedAttempt(State& state, Request& request,
                         const Placement& placed);
-// Goes on waiting, and looks again after `pause`.
+// Keeps the request waiting for want of `of`; it is placed again after `pause`.
 void QueueRequest(State& state, Request& request, Duration pause, Shortage of);
 void StartWaitingRequests(State& state);
 void OnMemoryAnswered(State& state, const MemoryReservationAnswered& event);
 void RenewReservations(State& state, Request& request);
 void ReleaseReservations(State& state, Request& request);
 
-// deciding.cc: where a prompt of this or another daemon goes.
-// What is to be known of it.
+// deciding.cc: decides where a request of this or another daemon goes.
+
+// The description of a request that DecidePlacement() needs, whether the
+// request is this daemon's or came with a PlacementRequest.
 struct PlacementDemand {
   std::string id;  // as logged
   std::string service;
@@ -56,93 +62,110 @@
   Duration prefill_time{};
   std::set<BackendId> excluded;
   std::uint64_t fingerprint = 0;
-  bool crash_suspected = false;    // as another daemon sees it
+  bool crash_suspected = false;    // by the daemon that sends it
   std::string data_centre;         // of the daemon that sends it
-  bool awaits_rate_limit = false;  // it has waited for a limit
-  // Servers that want rest from the daemon that sends it.
+  bool awaits_rate_limit = false;  // has waited for a server's rate limit
+  // Servers that the sending daemon backs off from.
   std::set<BackendId> backing_off;
 };
 PlacementDemand DemandOf(const State& state, const Request& request);
-// Can't be served in its time.
+// Placement decision for a prompt that can't be served before its deadline. The
+// client may retry after `retry_after`; `shortage` says what is lacking.
 struct DeadlineUnreachable {
   Duration retry_after{};
   Shortage shortage = Shortage::kEngines;
 };
-// What its caller is told.
+// Returns the refusal that the client gets for a shortage.
 Refusal RefusalFor(Shortage of);
 using PlacementDecision =
     std::variant<Placement, NoCapacityNow, TooLarge, DeadlineUnreachable>;
 PlacementDecision DecidePlacement(State& state, const PlacementDemand& demand);
-// Nothing where that is no service of engines.
+// Returns null if `service` isn't a service of engines.
 const EngineTiming* TimingOf(const State& state, const std::string& service);
 
-// dispatch.cc: prompts that one daemon places for another.
-// Asks the next placer, or decides alone where none answers.
+// dispatch.cc: remote placement, by which one daemon places another's prompts.
+
+// Requests a placement from the next placer, or places locally if no placer
+// responds.
 void RequestRemotePlacement(State& state, Request& request);
-// Tells the placer that a request that waits is over.
+// Withdraws the placement request of a waiting request that has ended.
 void WithdrawPlacement(State& state, const Request& request);
 void OnPlacementResponse(State& state, const PlacementResponse& answer);
 void OnPlacementRequest(State& state, const PlacementRequest& question);
-// Looks for room for those that wait.
+// Tries again to place the waiting prompts of other daemons.
 void RetryRemotePlacements(State& state);
-// What a daemon tells of its works takes the place of what was placed for it.
+// Drops the placements made for a daemon that the daemon's own published active
+// requests now cover.
 void DropPublishedPlacements(State& state, const LoadSnapshot& told);
 
-// audience.cc: who hears what of whom.
+// audience.cc: placement duties, and which daemons receive whose snapshots.
+
+// Returns the hash that orders equally strong machines for a duty.
 std::uint64_t RankOf(const std::string& peer_address,
                      const std::string& subject);
-// Those of the daemons that are known, and this one itself, that can have a
-// duty, by peer address: the strongest machines first, equal ones by a hash of
-// the duty's subject. Daemons that know the same agree on it without a word.
+// Returns the peer addresses of the daemons that can have a duty: of known
+// members that fulfil `can`, and of this daemon if `self` is set. The strongest
+// machines come first, equal ones in the order of RankOf() with the duty's
+// `subject`. Daemons with the same knowledge compute the same order, so they
+// agree on duties without messages.
 std::vector<std::string> StrongestOf(
     const State& state, const std::string& subject, bool self,
     const std::function<bool(const Member&)>& can);
 bool IsPlacer(const State& state, const std::string& peer_address);
-// Whether this daemon hears what all have at engines.
+// Whether this daemon receives the active requests of all daemons.
 bool ReceivesAllActiveRequests(const State& state);
-// Whether it hears that because it places for others.
+// Whether this daemon receives all active requests because it places for
+// others.
 bool PlacesForOthers(const State& state);
 void UpdatePlacementDuties(State& state);
-// Whether few enough daemons are known that each hears all.
+// Chooses between local placement, in a fleet so small that every daemon can
+// receive the active requests of all others, and placement by placers.
 void UpdatePlacementMode(State& state);
-// Whether that daemon is told that this one lives; what it has at engines.
+// Whether `peer` receives this daemon's heartbeats.
 bool ReceivesHeartbeats(const State& state, const std::string& peer);
+// Whether `peer` receives this daemon's active requests.
 bool ReceivesActiveRequests(const State& state, const std::string& peer);
-// Empty: not known.
+// Returns the empty string if the peer's data centre is unknown.
 std::string DataCentreOf(const State& state, const std::string& peer);
-// Whether that daemon, if it lives, tells this one so.
+// Whether `peer`, while it runs, sends heartbeats to this daemon.
 bool SendsUsHeartbeats(const State& state, const std::string& peer);
-// Where clients may go.
+// Returns the addresses of the daemons that clients may use.
 std::vector<std::string> AddressesFor(const State& state);
 
-// queue.cc: the order of long prompts that wait, over all daemons.
-// When it is a prompt's turn.
+// queue.cc: the queue of waiting long prompts, in one order for all daemons.
+
+// Returns a prompt's queue key. Prompts start in the order of their keys;
+// `read` is the prompt's prefill time.
 Time QueueKeyOf(const State& state, Time arrived, Time due, Duration read);
 Time QueueKeyOf(const State& state, const PlacementDemand& demand);
 Time QueueKeyOf(const State& state, const Request& request);
 Time QueueKeyOf(const State& state, const RemotePlacement& asked);
-// Whether it waits for a server's limit to allow one more.
+// Whether the request waits until a server's rate limit admits it.
 bool AwaitsRateLimit(const Request& request);
-// This daemon's requests that wait in that order.
+// Returns this daemon's waiting requests for the queue of all daemons.
 std::vector<WaitingRequest> WaitingOf(const State& state);
-// What a request may expect from now on.
+// Estimate of a request's wait, counted from now: until it starts and until its
+// first token.
 struct QueueEstimate {
-  std::size_t ahead = 0;  // waiting requests whose turn is before it
+  std::size_t ahead = 0;  // waiting requests with an earlier queue key
   Duration start{};
   Duration first_token{};
 };
 QueueEstimate EstimateQueue(const State& state, const PlacementDemand& demand,
                             const EngineTiming& timing, std::size_t engines);
-// When its caller is to come back if it could start after `expected`.
+// Returns the Retry-After time for the client of a request that is expected to
+// be able to start after `expected`.
 Duration RetryAfterOf(const State& state, const PlacementDemand& demand,
                       Duration expected);
-// Whether a prompt can't be served before its deadline.
+// Returns a value if the prompt can't be served before its deadline.
 std::optional<DeadlineUnreachable> CheckDeadline(State& state,
                                                  const PlacementDemand& demand,
                                                  const QueueEstimate& outlook);
 
-// repeats.cc: whether a request may be sent once more.
-// What forbids one more send of a request.
+// repeats.cc: decides whether a request may be sent once more.
+
+// The rule that forbids one more send of a request: its kind, its number of
+// possible runs, its remaining time, or the retry budget.
 enum class RetryDenial { kNothing, kKind, kRuns, kTime, kBudget };
 inline constexpr NameTable<RetryDenial, 5> kRetryDenialNames{{
     {RetryDenial::kNothing, "nothing"},
@@ -151,33 +174,38 @@
     {RetryDenial::kTime, "time"},
     {RetryDenial::kBudget, "budget"},
 }};
-// Counts a request for its service.
+// Counts a request for the retry budget of its service.
 void CountRequest(State& state, const Request& request);
-// What forbids to send it to one more backend server, where it has not run.
-// Plans the repeat where nothing does.
+// Returns what forbids a retry of a request that has not run, and reserves the
+// retry if nothing does.
 RetryDenial ReserveRetry(State& state, Request& request);
-// The same for a request that may have run.
+// Returns what forbids a rerun, the retry of a request that may have run, and
+// reserves it if nothing does.
 RetryDenial ReserveRerun(State& state, Request& request);
-// It is sent now. False where it was a planned repeat and there is no room for
-// it any more.
+// Uses the reserved retry, if there is one, for a send that happens now.
+// Returns false if the retry budget no longer allows the reserved retry.
 bool CommitRetry(State& state, Request& request);
-// It won't be sent.
+// Returns the reserved retry of a request that won't be sent again.
 void ReleaseRetry(State& state, Request& request);
 
-// attempts.cc: what backend servers answer.
+// attempts.cc: processes backend servers' responses and their failures.
+
 void OnStreamEvent(State& state, const StreamEvent& event);
 void OnAnswered(State& state, const AttemptAnswered& event);
 void OnFailed(State& state, const AttemptFailed& event);
-// An attempt that does not go on is taken for lost.
+// Fails attempts that make no progress before their deadline for it.
 void ExpireAttempts(State& state);
-// That life of a backend server is over, and another one has its id.
+// Fails the attempts at a backend incarnation that has ended and was replaced
+// under the same instance id.
 void FailAttemptsAt(State& state, BackendId life);
 
-// backends.cc: which backend servers there are, and how well they do.
-// Of one life of a backend server: whatever names it ends with that life.
+// backends.cc: tracks the listed backend servers and their health.
+
+// Returns the id of one backend incarnation. Whatever refers to the id doesn't
+// apply to the server's next incarnation.
 BackendId IdOf(const BackendServer& server);
 Backend* FindBackend(State& state, BackendId id);
-// Its entry names one that does not leave.
+// Whether the server is listed and isn't leaving.
 bool TakesWork(const Backend& backend);
 void OnListed(State& state, const BackendServer& server);
 void OnUnlisted(State& state, const BackendUnlisted& event);
@@ -187,243 +215,304 @@
 void RecordFailure(State& state, BackendId id, const std::string& why);
 void RecordFailedResponse(State& state, BackendId id);
 void RecordBackendGone(State& state, BackendId id, const std::string& why);
-// Keeps new work away for `length`, unless too many are kept out already.
+// Keeps new requests away from the server for `length`, unless too many servers
+// are kept out already.
 void SuspectBackend(State& state, Backend& backend, Duration length,
                     const std::string& why);
-// The same for an engine that reports to be slow, until it reports otherwise.
+// Keeps new requests away, in the manner of SuspectBackend(), from an engine
+// that reports a slowdown; the engine's next good report ends it.
 void AvoidSlowBackend(State& state, Backend& backend, Duration length);
-// The same for one that wants rest: it may ask others for it next.
+// Backs off for `length` from a server that asked for it, and makes other
+// daemons suspect it too, since the server would ask them for a backoff next.
 void ApplyBackoff(State& state, Backend& backend, Duration length);
-// All that this daemon or another one that serves suspects.
+// Returns the servers that this daemon or another serving daemon suspects.
 std::set<BackendId> SuspectedBackends(const State& state);
-// Notes that this daemon or another one that it hears suspects that one.
+// Applies a suspicion of this daemon or of another one.
 void ApplySuspicion(State& state, const Suspicion& suspicion);
-// Back after a suspicion, and not yet seen to work.
+// Whether the server is back after a suspicion and hasn't been seen to make
+// progress yet.
 bool IsOnProbation(const State& state, const Backend& backend);
-// Ends the probations of those that are seen to write what was begun in them.
+// Ends the probation of each server that decodes an active request which began
+// during the probation.
 void EndProbations(State& state,
                    const std::vector<const ActiveRequest*>& works);
-// Those of a service that take new work.
+// Returns the servers of a service that take new requests.
 std::vector<const Backend*> OpenBackends(const State& state,
                                          const std::string& service);
 
-// endings.cc: requests under which backend servers end.
-// That life ended with a request of that content in work.
+// endings.cc: crashes of backend servers and quarantine of the requests that
+// may cause them. `content` is a request fingerprint.
+
+// Records that a backend incarnation ended while it ran a request with that
+// fingerprint.
 void RecordCrash(State& state, std::uint64_t content, BackendId life);
-// What the store holds of them, by watch, relay or list.
+// Applies stored crashes that come by watch, relay or list.
 void OnCrashesStored(State& state, const StoredCrashes& stored);
 void OnAllCrashesListed(State& state, const AllCrashesListed& event);
 void OnSaveCrashesFinished(State& state);
-// Writes what the store lacks, where it is this daemon's turn.
+// Saves the crashes that the store lacks, if that is this daemon's duty and
+// due.
 void SaveCrashesIfDue(State& state);
-// A whole answer came: whatever ended with it in work did so by itself.
+// Clears the fingerprint of a request that got a complete response: the crashes
+// that happened while it ran had another cause.
 void ClearAfterSuccess(State& state, const Request& request);
-// What another daemon tells.
+// Applies crashes that another daemon publishes.
 void ApplyCrashes(State& state, const std::vector<Crash>& endings);
-// Refuses a request that has ended as many as are enough. True if it did.
+// Refuses a request whose fingerprint is quarantined. Returns whether it did.
 bool RefuseIfQuarantined(State& state, Request& request);
-// Whether it is being asked if one more has ended under it.
+// Whether a crash check is under way that may add a crash to the fingerprint.
 bool AwaitsCrashCheck(const State& state, std::uint64_t content);
-// One of its attempts broke off just now at a server that may live.
+// Whether an attempt with the fingerprint was just interrupted at a server that
+// may still run.
 bool AwaitsLivenessSignal(const State& state, std::uint64_t content);
-// It may be what ends servers.
+// Whether the fingerprint may be what crashes servers.
 bool IsCrashSuspected(const State& state, std::uint64_t content);
-// What this daemon asks about, for the others to wait for too.
+// Returns the fingerprints that this daemon's crash checks are about, for the
+// other daemons to wait for as well.
 std::vector<std::uint64_t> FingerprintsUnderCheck(const State& state);
-// Where a request goes because of its content; neither: wherever is best.
+// Isolation keeps requests with a fingerprint that has crashed servers, or is
+// suspected to, together at one server or one at a time, so that a further
+// crash hits few other requests. Without a backend and `wait`, placement is
+// free.
 struct Isolation {
-  const Backend* backend = nullptr;
-  bool wait = false;
-  bool crash_suspected = false;  // not only for copies that are in work
+  const Backend* backend = nullptr;  // the server that must run the request
+  bool wait = false;                 // the request must not start now
+  // The fingerprint is crash-suspected. Otherwise the isolation results only
+  // from active requests with the same fingerprint.
+  bool crash_suspected = false;
 };
 Isolation FindIsolation(const State& state, const PlacementDemand& demand,
                         const std::vector<const Backend*>& open);
-// It goes there.
+// Records where a request that is subject to isolation goes.
 void RecordIsolation(State& state, const PlacementDemand& demand,
                      const Isolation& with);
 
-// life_checks.cc: whether a backend server has ended at which answers broke
-// off.
+// life_checks.cc: liveness checks of backend servers at which responses were
+// interrupted.
+
 void CheckLiveness(State& state, const Request& request, BackendId life);
 void OnLivenessProbed(State& state, const LivenessProbed& event);
-// That life is over, whoever found out.
+// Applies the end of a backend incarnation, whichever daemon detected it.
 void EndIncarnation(State& state, BackendId life);
-// It said something just now.
+// Records a liveness signal that came just now.
 void RecordAlive(State& state, BackendId life);
 void RepeatLivenessProbes(State& state);
 
-// server_limits.cc: how many requests backend servers take.
-// Requests a second; nothing: none is in force.
+// server_limits.cc: rate limits that backend servers advertise.
+
+// Returns the limit in requests a second, or nothing if none is in force.
 std::optional<double> RateLimitOf(const State& state, BackendId life);
 bool IsRateLimited(const State& state, BackendId life);
 bool AnyRateLimited(const State& state, const std::string& service);
-// Of these, those that may get one more request now.
+// Returns those of `open` whose rate limit admits one more request now.
 std::vector<const Backend*> BackendsWithinRateLimit(
     State& state, const PlacementDemand& demand,
     const std::vector<const Backend*>& open);
-// None of these may.
+// Decides about a request that none of `open` may get now.
 PlacementDecision WaitForRateLimit(State& state, const PlacementDemand& demand,
                                    const std::vector<const Backend*>& open);
-// It gets one, whoever sends it.
+// Counts a request against the rate limit of a server, whichever daemon sends
+// it.
 void RecordStart(State& state, BackendId life);
 void RecordStart(State& state, const Placement& placed);
-// What another daemon has begun and named since it was last heard.
+// Counts the requests that another daemon has started since its previous
+// snapshot, and applies the rate limits that it publishes.
 void RecordPeerStarts(State& state, const LoadSnapshot& told,
                       const std::vector<ActiveRequest>& known);
-// What was named to this daemon, or to one that tells of it.
+// Applies a rate limit that a server advertised to this daemon (`own`) or to
+// another one that publishes it.
 void ApplyRateLimit(State& state, const ServerLimit& named, bool own);
-// For a snapshot: all that is to be known, or the news.
+// Returns the rate limits for a snapshot: all of them, or with `news` only the
+// unpublished changes.
 std::vector<ServerLimit> RateLimitsToPublish(State& state, bool news);
 void DropExpiredRateLimits(State& state);
-// Of the servers there, those whose limits are known here, or that these are
-// over.
+// Returns the servers of a placement whose rate limit, or the withdrawal of it,
+// is known here.
 std::vector<BackendId> KnownRateLimitsAt(const State& state,
                                          const Placement& placed);
-// Of the servers there, those with limits that the placer didn't know.
+// Returns the servers of a placement with rate limits that the placer didn't
+// count.
 std::vector<BackendId> UncountedRateLimitsAt(const State& state,
                                              const PlacementResponse& answer);
-// Tells the placers of these anew.
+// Publishes the rate limits of these servers to the placers again.
 void RepublishRateLimits(State& state, const std::vector<BackendId>& lives);
 
-// server_words.cc: what backend servers say of themselves in their answers.
+// server_words.cc: server signals in the heads of backend servers' responses.
+
 void OnResponseHead(State& state, const ResponseHeadReceived& event);
-// That life said that it leaves, to this daemon or to one that tells of it.
+// Records that a backend incarnation is leaving, as it said to this daemon
+// (`own`) or to another one that publishes it.
 void ApplyLeaving(State& state, BackendId life, const std::string& request,
                   bool own);
-// For a snapshot: those of the last seconds, or the news.
+// Returns the leaving servers for a snapshot: those of the last seconds, or
+// with `news` only the unpublished ones.
 std::vector<BackendId> LeavingToPublish(State& state, bool news);
 void DropExpiredLeaving(State& state);
-// That life wants no request of this daemon now.
+// Whether this daemon backs off from that backend incarnation now.
 bool IsBackingOff(const State& state, BackendId life);
 std::set<BackendId> ServersBackingOff(const State& state);
-// Refuses a request all of whose servers want rest, until the first is over.
-// True if it did.
+// Refuses a request if this daemon backs off from all servers in `open`; the
+// client may retry when the first backoff ends. Returns whether it refused.
 bool RefuseIfAllBackingOff(State& state, Request& request,
                            const std::vector<const Backend*>& open);
 void DropExpiredBackoffs(State& state);
 
-// reports.cc: engines that turned slow.
-// Asks those engines whose reports are due and this daemon's to fetch.
+// reports.cc: engines' reports, which show a slowdown.
+
+// Fetches the due reports of the engines that are this daemon's to query.
 void FetchDueReports(State& state);
 void OnReport(State& state, const EngineReportReceived& event);
 
-// snapshots.cc: what daemons tell each other of themselves.
+// snapshots.cc: snapshots that daemons publish to each other.
+
 void OnSnapshot(State& state, const SnapshotReceived& event);
-// To all that are heard, where something changed.
+// Sends an incremental snapshot to the live daemons if something changed.
 void PublishIncrementalSnapshot(State& state);
-// To those whose turn it is.
+// Sends full snapshots to the daemons for which one is due.
 void PublishFullSnapshots(State& state);
 
 // members.cc: the other daemons and the configuration.
+
 void OnPeersListed(State& state, const PeersListed& event);
 void OnDaemonsCounted(State& state, const DaemonsCounted& event);
+// Whether a snapshot of the member came recently enough.
 bool IsLive(const State& state, const Member& member);
 DaemonCount CountOf(const State& state);
 std::size_t LiveDaemons(const State& state);
-// What all daemons have at backend servers.
+// Returns the active requests of all daemons, including this one.
 std::vector<const ActiveRequest*> AllActiveRequests(const State& state);
 void OnConfiguration(State& state, const ConfigurationReceived& event);
 void OnConfirmed(State& state, const ConfigurationConfirmed& event);
 bool IsFresh(const State& state);
 
-// proofs.cc: for how long what is known of the store is gone by.
-// When all of it was last known to be the newest.
+// proofs.cc: freshness confirmations, which bound how long known state of the
+// store is usable.
+
+// Returns when all known state of the store was last known to be the newest.
 Time StoreConfirmedAt(const State& state);
-// The store says nothing to this daemon, nor is anybody known to hear it; or
-// this daemon alone is cut off.
+// Whether the store doesn't respond to this daemon and no daemon is known that
+// it responds to; also if only this daemon is cut off.
 bool IsStoreUnresponsive(const State& state);
-// What is known may be gone by: it was the newest a short time ago, or nobody
-// can know anything newer.
+// Whether the known backend servers are usable: they were confirmed to be the
+// newest a short time ago, or no daemon can know anything newer.
 bool AreBackendsUsable(const State& state);
+// Whether the known configuration is usable, by the same rule.
 bool IsConfigurationUsable(const State& state);
-// A call was made whose answer would tell what is the newest.
+// Records that a query was sent whose response would show the newest state.
 void RecordStoreQuery(State& state);
-// The store spoke to this daemon; to one that asked so long ago.
+// Records a response of the store to this daemon.
 void RecordStoreResponse(State& state);
+// Records a response of the store to another daemon's query of `age` ago.
 void RecordPeerStoreResponse(State& state, Duration age);
-// What is known was the newest at `asked`.
+// Records that the known configuration was the newest at `asked`, the time of
+// the query.
 void ConfirmConfiguration(State& state, Time asked);
+// Records that the known backend servers were the newest at `asked`.
 void ConfirmBackends(State& state, Time asked);
-// That one was the newest at `asked`, and is not known here yet.
+// Records that a configuration which isn't known here yet was the newest at
+// `asked`.
 void AwaitConfiguration(State& state, const ConfigurationStamp& stamp,
                         Time asked);
+// Applies the confirmations that awaited the configuration which is now known.
 void ConfirmAwaited(State& state);
-// How long an entry that is seen gone, and may only have lapsed, is waited for.
+// Returns how long this daemon waits for an entry to come back whose lease may
+// only have expired.
 Time LapseEnd(const State& state);
-// Logs when this daemon begins or ends to lag behind the store.
+// Logs when this daemon starts or stops lagging behind the store.
 void LogLagChange(State& state);
 
-// store_eras.cc: a store that is restored from an older copy.
-// Of the configuration that is known; none: all zero.
+// store_eras.cc: store epochs. A restore from a backup begins a new one.
+
+// Returns the stamp of the known configuration; all zero if none is known.
 ConfigurationStamp StampOf(const State& state);
-// The store is in that era, by its own word (`told_by` empty) or a daemon's.
+// Applies that the store is in epoch `number`, as the store's own response
+// (`told_by` is empty) or the daemon `told_by` says.
 void ObserveEpoch(State& state, std::uint64_t number,
                   const std::string& told_by);
-// The store's own note of the era that was last settled.
+// Applies the last reconciled epoch that the store has recorded.
 void OnReconciledEpoch(State& state, std::uint64_t era);
-// Writes that note where it is older, if it is this daemon's turn.
+// Updates the recorded reconciled epoch in the store if it is older than the
+// current one and writing it is this daemon's duty and due.
 void WriteReconciledEpochIfDue(State& state);
-// Others may not have written again yet what the copy lacks; until when.
+// Whether the store was restored so recently that its writers may not have
+// rewritten yet what the backup lacks.
 bool IsJustRestored(const State& state);
+// Returns when IsJustRestored() ends.
 Time RestoreEnd(const State& state);
-// The store was at that revision: later ones are no copy's.
+// Records a revision that the store was at in this epoch. Later revisions can't
+// come from the backup.
 void RecordFirstRevisionNumber(State& state, const StoreRevision& at);
-// The store holds that configuration.
+// Records the stamp of the configuration that the store holds.
 void RecordStoredConfiguration(State& state, const ConfigurationStamp& stored);
-// All that the store of that era held at `asked` is known; zero: not asked.
+// Records that this daemon knows all that the store held at `asked` in epoch
+// `number`. A zero `asked` means that there was no query.
 void ConfirmByStore(State& state, std::uint64_t number, Time asked);
-// Takes the proof that waited for the others' word.
+// Applies the first freshness confirmation after this daemon's start, which
+// waits for other daemons' snapshots.
 void ApplyFirstConfirmation(State& state);
-// What another daemon's snapshot says of restores.
+// Applies what another daemon's snapshot says about restores.
 void ApplyPeerRestore(State& state, const LoadSnapshot& told);
-// What an asker's relay, which left after `sent`, proves of the configuration.
+// Applies the confirmation of the configuration that a store poller's relay
+// carries. The relay left that daemon after `sent`.
 void ApplyRelayedConfirmation(State& state, const StoreRelay& relay, Time sent);
-// See LoadSnapshot::unsettled_for.
+// See LoadSnapshot::reconciling_for.
 Duration ReconcilingFor(const State& state);
-// At which the store holds its configuration in this era; none: not known.
+// Returns the revision at which the store holds its configuration in this
+// epoch; a revision of zero if it is unknown.
 StoreRevision StoredRevision(const State& state);
-// That entry is of a backend server that had gone before the restore, and may
-// be there only because the copy is older; until when it is taken for that.
+// Whether the entry is of a backend server that was deleted before the restore
+// and may be listed only because the backup is older.
 bool IsRestoredTombstone(const State& state, const BackendServer& server);
+// Returns until when IsRestoredTombstone() may apply.
 Time RestoredTombstoneEnd(const State& state);
 
-// store_following.cc: who asks the store, and what the others hear of it.
-// A configuration that new is there, as that daemon told, and may not be known
-// here.
+// store_following.cc: polls the store, or follows it by the store pollers'
+// relays.
+
+// Schedules a read of the configuration `stamp`, which the daemon `told_by` has
+// published, if the known configuration is older.
 void ScheduleConfigurationRead(State& state, const ConfigurationStamp& stamp,
                                const std::string& told_by);
-// Which duties this daemon has among those that it hears.
+// Updates which store duties this daemon has among the live daemons.
 void UpdateStoreRoles(State& state);
-// Asks, watches, reads and relays as is due.
+// Polls, watches, reads and relays whatever is due.
 void FollowStore(State& state);
-// When FollowStore() has something to do at the latest.
+// Returns the latest time at which FollowStore() must run again.
 Time NextStoreWake(const State& state);
-// Whether this daemon may put the questions for its data centre.
+// Whether this daemon can reach the store and so may poll it for its data
+// centre.
 bool ReachesStore(const State& state);
-// This daemon's own question was answered.
+// Records that the store responded to this daemon's own query.
 void RecordStoreReached(State& state);
 void OnBackendsConfirmed(State& state, const BackendsConfirmed& event);
 void OnStoreUnreachable(State& state);
 void OnStoreRelay(State& state, const StoreRelay& relay);
-// Notes what changed, to be told to those that don't ask.
+// Records a change, to be relayed to the daemons that don't poll the store.
 void RecordChange(State& state, BackendChange change);
-// All changes up to that revision are known.
+// Records that all changes up to that revision are known.
 void RecordCompleteUpTo(State& state, const StoreRevision& revision);
-// That entry went at that revision; none: not told.
+// Records that an entry was deleted at a revision; a revision of zero means
+// that it is unknown.
 void RecordTombstone(State& state, const std::string& id,
                      const StoreRevision& revision);
-// An entry that is known to have gone at that revision or later.
+// Whether the entry is known to have been deleted at that revision or later.
 bool HasTombstoneSince(const State& state, const std::string& id,
                        const StoreRevision& revision);
 void RecordSnapshotSent(State& state);
 
+// reducer.cc: helpers of the other steps.
+
+// Appends a log effect for the event `what`. A `routine` line may be left out
+// under a high log rate.
 void Log(State& state, std::string what,
          std::vector<std::pair<std::string, std::string>> fields,
          bool routine = false);
+// Returns the duration in milliseconds, for a log field.
 std::string Millis(Duration duration);
-// Has just started, and may not have heard yet what it needs.
+// Whether this daemon has just started and may lack data of other daemons.
 bool IsWarmingUp(const State& state);
-// From nothing to that, for moments that are to differ between daemons.
+// Returns a random duration from zero to `most`, for times that should differ
+// between daemons.
 Duration RandomDuration(State& state, Duration most);
 
 }  // namespace scaleshed::serving::internal
