--- a/serving/src/audience.cc
+++ b/serving/src/audience.cc
@@ -20,31 +20,31 @@
 // Up to so many daemons each hears all. At 16 daemons and 45 requests/s that is
 // 2,000 messages a second in all; at 76 with 120 it was 27,000, which delayed
 // answers on links of 20 Mbit/s by some ms.
-constexpr std::size_t kMostThatAllPlace = 16;
-constexpr std::size_t kHubs = 2;  // of a data centre
+constexpr std::size_t kMaxDaemonsPlacingLocally = 16;
+constexpr std::size_t kHubsPerDataCentre = 2;  // of a data centre
 // That a placer died is known by its silence of 2 s only. Where half of the
 // daemons die at once, both placers of them, prompts were placed by each daemon
 // alone for as long, blind to what all others had. So many hubs are asked then
 // before a daemon places alone: with three data centres all that there are, as
 // the first four of them were seen to die together.
-constexpr std::size_t kStandIns = 4;
+constexpr std::size_t kMaxFallbackPlacers = 4;
 // An answer to a look-up holds so many addresses at most.
-constexpr std::size_t kMostAddresses = 64;
+constexpr std::size_t kMaxAddresses = 64;
 // With fewer that serve in this data centre, those of others are named too.
-constexpr std::size_t kLeastAddresses = 4;
+constexpr std::size_t kMinLocalAddresses = 4;
 
-bool IsHereAndServes(const State& state, const Member& member) {
+bool ServesInThisDataCentre(const State& state, const Member& member) {
   return member.snapshot.serving && IsLive(state, member) &&
          member.snapshot.data_centre == state.options.data_centre;
 }
 
-bool TakeHub(const State& state) {
+bool IsAmongStrongestHubs(const State& state) {
   if (!IsServing(state)) return false;
-  const auto hubs =
-      StrongestOf(state, state.options.data_centre, /*self=*/true,
-                  [&](const Member& it) { return IsHereAndServes(state, it); });
-  const auto end =
-      hubs.begin() + std::min<std::ptrdiff_t>(kHubs, std::ssize(hubs));
+  const auto hubs = StrongestOf(
+      state, state.options.data_centre, /*self=*/true,
+      [&](const Member& it) { return ServesInThisDataCentre(state, it); });
+  const auto end = hubs.begin() + std::min<std::ptrdiff_t>(kHubsPerDataCentre,
+                                                           std::ssize(hubs));
   return std::find(hubs.begin(), end, state.options.peer_address) != end;
 }
 
@@ -58,28 +58,30 @@
 
 // The second one in another data centre than the first, if there is one: a data
 // centre that is cut off takes one placer only.
-std::vector<std::string> PlacersOf(const State& state,
-                                   const std::vector<std::string>& all) {
-  if (all.empty()) return {};
-  const std::string first_in = DataCentreOf(state, all.front());
+std::vector<std::string> ChoosePlacers(const State& state,
+                                       const std::vector<std::string>& hubs) {
+  if (hubs.empty()) return {};
+  const std::string first_data_centre = DataCentreOf(state, hubs.front());
   const auto second =
-      std::find_if(all.begin(), all.end(), [&](const std::string& it) {
-        return DataCentreOf(state, it) != first_in;
+      std::find_if(hubs.begin(), hubs.end(), [&](const std::string& it) {
+        return DataCentreOf(state, it) != first_data_centre;
       });
-  if (second != all.end()) return {all.front(), *second};
-  return {all.begin(),
-          all.begin() + std::min<std::ptrdiff_t>(2, std::ssize(all))};
+  if (second != hubs.end()) return {hubs.front(), *second};
+  return {hubs.begin(),
+          hubs.begin() + std::min<std::ptrdiff_t>(2, std::ssize(hubs))};
 }
 
-std::vector<std::string> StandInsOf(const std::vector<std::string>& hubs,
-                                    const std::vector<std::string>& placers) {
-  std::vector<std::string> stand_ins;
+std::vector<std::string> ChooseFallbackPlacers(
+    const std::vector<std::string>& hubs,
+    const std::vector<std::string>& placers) {
+  std::vector<std::string> fallback_placers;
   for (const std::string& it : hubs) {
-    const bool places =
+    const bool is_placer =
         std::find(placers.begin(), placers.end(), it) != placers.end();
-    if (!places && stand_ins.size() < kStandIns) stand_ins.push_back(it);
+    if (!is_placer && fallback_placers.size() < kMaxFallbackPlacers)
+      fallback_placers.push_back(it);
   }
-  return stand_ins;
+  return fallback_placers;
 }
 
 }  // namespace
@@ -135,7 +137,8 @@
 }
 
 void UpdatePlacementMode(State& state) {
-  state.dispatch.place_locally = LiveDaemons(state) <= kMostThatAllPlace;
+  state.dispatch.place_locally =
+      LiveDaemons(state) <= kMaxDaemonsPlacingLocally;
   state.slack_share.RecordDaemonCount(state.now, LiveDaemons(state));
   const DaemonCount count = CountOf(state);
   if (count == state.logged_daemon_count) return;
@@ -152,12 +155,12 @@
   const bool was_hub = dispatch.is_hub;
   // Who else is there is heard before this daemon takes a duty; who places is
   // of use at once.
-  dispatch.is_hub =
-      state.store.has_role && !dispatch.place_locally && TakeHub(state);
+  dispatch.is_hub = state.store.has_role && !dispatch.place_locally &&
+                    IsAmongStrongestHubs(state);
   const auto hubs =
       dispatch.place_locally ? std::vector<std::string>{} : RankedHubs(state);
-  auto placers = PlacersOf(state, hubs);
-  dispatch.fallback_placers = StandInsOf(hubs, placers);
+  auto placers = ChoosePlacers(state, hubs);
+  dispatch.fallback_placers = ChooseFallbackPlacers(hubs, placers);
   if (was_hub != dispatch.is_hub) state.has_unpublished_changes = true;
   if (state.published_header.places != PlacesForOthers(state))
     state.has_unpublished_changes = true;
@@ -203,22 +206,23 @@
   std::vector<std::string> elsewhere;
   for (const auto& [address, member] : state.members) {
     if (!IsLive(state, member) || !member.snapshot.serving) continue;
-    const bool near = state.dispatch.place_locally ||
-                      member.snapshot.data_centre == state.options.data_centre;
-    (near ? here : elsewhere).push_back(member.snapshot.instance);
+    const bool is_local =
+        state.dispatch.place_locally ||
+        member.snapshot.data_centre == state.options.data_centre;
+    (is_local ? here : elsewhere).push_back(member.snapshot.instance);
   }
   if (IsServing(state)) here.push_back(state.options.instance);
-  if (here.size() < kLeastAddresses) {
+  if (here.size() < kMinLocalAddresses) {
     here.insert(here.end(), elsewhere.begin(), elsewhere.end());
   }
   // Of more, each daemon names others, so that all are named as often.
-  if (here.size() > kMostAddresses) {
+  if (here.size() > kMaxAddresses) {
     const std::uint64_t own = HashBytes(state.options.peer_address);
     std::sort(here.begin(), here.end(),
               [&](const std::string& a, const std::string& b) {
                 return HashBytes(a, own) < HashBytes(b, own);
               });
-    here.resize(kMostAddresses);
+    here.resize(kMaxAddresses);
   }
   return here;
 }
--- a/serving/src/members.cc
+++ b/serving/src/members.cc
@@ -10,7 +10,7 @@
 
 // A daemon that has been silent so long is not named to clients, and what it
 // had is forgotten. Longer than two whole snapshots that are lost in a row.
-constexpr Duration kSilence = milliseconds(2000);
+constexpr Duration kLivenessTimeout = milliseconds(2000);
 // What is needed to take a request and get it to a backend server is done well
 // within this part of the bound for keys.
 constexpr Duration kFreshnessMargin = milliseconds(200);
@@ -18,7 +18,7 @@
 }  // namespace
 
 bool IsLive(const State& state, const Member& member) {
-  return state.now - member.received_at < kSilence;
+  return state.now - member.received_at < kLivenessTimeout;
 }
 
 DaemonCount CountOf(const State& state) {
@@ -37,20 +37,20 @@
 }
 
 std::vector<const ActiveRequest*> AllActiveRequests(const State& state) {
-  std::vector<const ActiveRequest*> works;
+  std::vector<const ActiveRequest*> requests;
   for (const auto& [key, request] : state.requests) {
     if (request.phase != Phase::kWaiting)
-      works.push_back(&request.active_request);
+      requests.push_back(&request.active_request);
   }
   for (const auto& [address, member] : state.members) {
     if (!IsLive(state, member)) continue;
     for (const ActiveRequest& it : member.snapshot.active_requests)
-      works.push_back(&it);
+      requests.push_back(&it);
   }
   for (const auto& [key, it] : state.dispatch.remote_placements) {
-    if (it.placement) works.push_back(&it.active_request);
+    if (it.placement) requests.push_back(&it.active_request);
   }
-  return works;
+  return requests;
 }
 
 void OnPeersListed(State& state, const PeersListed& event) {
@@ -85,7 +85,7 @@
 
 namespace {
 
-void LogKept(State& state, const ConfigurationStamp& seen) {
+void LogConfigurationKept(State& state, const ConfigurationStamp& seen) {
   const ConfigurationStamp known = StampOf(state);
   if (seen.version == known.version) return;
   Log(state, "configuration_kept",
@@ -97,7 +97,7 @@
        {"seen_revision", std::to_string(seen.revision.number)}});
 }
 
-void TakeConfiguration(State& state, const ConfigurationReceived& event) {
+void ApplyConfiguration(State& state, const ConfigurationReceived& event) {
   const Configuration& seen = event.configuration;
   state.configuration.emplace(seen);
   state.effects.emplace_back(ApplyLimits{.limits = seen.limits});
@@ -125,11 +125,11 @@
   const bool is_newer = IsNewer(seen, StampOf(state));
   // A copy's, or read late.
   if (!is_newer && seen != state.store.epoch.stored_configuration)
-    LogKept(state, seen);
+    LogConfigurationKept(state, seen);
   // Before it is taken: what was known tells whether it was written since a
   // restore.
   RecordStoredConfiguration(state, seen);
-  if (is_newer) TakeConfiguration(state, event);
+  if (is_newer) ApplyConfiguration(state, event);
   // It was the newest when the question was put: what is known is at least as
   // new, also where a watch has told of a newer one since.
   ConfirmByStore(state, seen.revision.epoch, event.queried_at);
@@ -153,16 +153,16 @@
 ClientAddresses LookUpClientAddresses(const State& state) {
   // Short, so that a daemon that is gone is soon forgotten; some clients keep
   // an answer for three times as long, which a planned stop waits for.
-  constexpr Duration kKeep = seconds(2);
-  ClientAddresses answer{.addresses = internal::AddressesFor(state),
-                         .time_to_live = kKeep};
-  if (!answer.addresses.empty()) return answer;
+  constexpr Duration kTimeToLive = seconds(2);
+  ClientAddresses result{.addresses = internal::AddressesFor(state),
+                         .time_to_live = kTimeToLive};
+  if (!result.addresses.empty()) return result;
   // Nobody is known to serve: any may come back first.
-  answer.addresses.push_back(state.options.instance);
+  result.addresses.push_back(state.options.instance);
   for (const auto& [address, member] : state.members) {
-    answer.addresses.push_back(member.snapshot.instance);
+    result.addresses.push_back(member.snapshot.instance);
   }
-  return answer;
+  return result;
 }
 
 }  // namespace scaleshed::serving
--- a/serving/src/reducer.cc
+++ b/serving/src/reducer.cc
@@ -11,19 +11,19 @@
 namespace {
 
 // While requests are in work, their time limits are looked at so often.
-constexpr Duration kBusyTick = milliseconds(20);
-constexpr Duration kIdleTick = milliseconds(200);
+constexpr Duration kBusyTickInterval = milliseconds(20);
+constexpr Duration kIdleTickInterval = milliseconds(200);
 // Who lives, who has which duty and who is to be told again is looked at so
 // often: each look goes over all daemons, and what it finds is due in tenths of
 // a second.
-constexpr Duration kLookAround = milliseconds(50);
+constexpr Duration kRoleUpdateInterval = milliseconds(50);
 // Longer than a first configuration and the first word of others take (some
 // 100 ms): what has not come by then has no way here.
-constexpr Duration kYoungFor = seconds(1);
+constexpr Duration kWarmUpTime = seconds(1);
 // A stopping daemon still takes requests for so long of its grace, as clients
 // keep addresses for a while; then it ends with its last answer.
-constexpr double kTakingPart = 0.8;
-constexpr double kLastPart = 0.96;
+constexpr double kAdmittingShareOfGrace = 0.8;
+constexpr double kMaxShareOfGrace = 0.96;
 
 void OnStop(State& state) {
   if (state.stop_at) return;
@@ -36,13 +36,13 @@
 
 void FinishStop(State& state) {
   if (!state.stop_at || state.exited) return;
-  const Duration since = state.now - *state.stop_at;
-  const bool last =
-      since >= FractionOf(state.options.shutdown_grace, kLastPart);
-  const bool quiet =
-      since >= FractionOf(state.options.shutdown_grace, kTakingPart) &&
-      state.requests.empty();
-  if (!last && !quiet) return;
+  const Duration elapsed = state.now - *state.stop_at;
+  const bool time_is_up =
+      elapsed >= FractionOf(state.options.shutdown_grace, kMaxShareOfGrace);
+  const bool drained = elapsed >= FractionOf(state.options.shutdown_grace,
+                                             kAdmittingShareOfGrace) &&
+                       state.requests.empty();
+  if (!time_is_up && !drained) return;
   while (!state.requests.empty()) {
     Request& request = state.requests.begin()->second;
     request.may_have_run =
@@ -62,7 +62,7 @@
   RepeatLivenessProbes(state);
   ExpireAttempts(state);
   StartWaitingRequests(state);
-  if (state.now >= state.roles_updated_at + kLookAround) {
+  if (state.now >= state.roles_updated_at + kRoleUpdateInterval) {
     state.roles_updated_at = state.now;
     FetchDueReports(state);
     PublishFullSnapshots(state);
@@ -151,7 +151,7 @@
 }
 
 bool IsWarmingUp(const State& state) {
-  return state.now - state.started_at < kYoungFor;
+  return state.now - state.started_at < kWarmUpTime;
 }
 
 Duration RandomDuration(State& state, Duration most) {
@@ -176,8 +176,8 @@
       !state.requests.empty() || !state.early_requests.empty() ||
       state.stop_at.has_value() || !state.dispatch.remote_placements.empty() ||
       !state.liveness_checks.empty() || state.quarantine.has_unsaved();
-  const Time tick =
-      state.ticked_at + (busy ? internal::kBusyTick : internal::kIdleTick);
+  const Time tick = state.ticked_at + (busy ? internal::kBusyTickInterval
+                                            : internal::kIdleTickInterval);
   const Time due = std::min(tick, internal::NextStoreWake(state));
   return std::min(due, state.dispatch.response_due.value_or(due));
 }
--- a/serving/src/snapshots.cc
+++ b/serving/src/snapshots.cc
@@ -11,25 +11,25 @@
 // make a living daemon silent. Those that are not heard, more
 // rarely. Moments differ from daemon to daemon: 75 whole snapshots at once
 // would keep a link of 20 Mbit/s from requests for 15 ms.
-constexpr Duration kWholeEvery = milliseconds(800);
-constexpr Duration kWholeToSilent = seconds(2);
+constexpr Duration kFullSnapshotInterval = milliseconds(800);
+constexpr Duration kSilentPeerSnapshotInterval = seconds(2);
 // A daemon that has just started says so within this, at a moment that is
 // drawn: who places and who asks the store is agreed by what is heard.
-constexpr Duration kFirstWhole = milliseconds(150);
+constexpr Duration kFirstSnapshotMaxDelay = milliseconds(150);
 // What an asker proves counts from the last snapshot of ours that it has heard.
-constexpr Duration kWholeToAsker = milliseconds(400);
+constexpr Duration kPollerSnapshotInterval = milliseconds(400);
 // Changes are told at once; while something waits this often without one, as
 // others order theirs by it.
-constexpr Duration kBusyHeartbeat = milliseconds(100);
+constexpr Duration kWaitingHeartbeatInterval = milliseconds(100);
 
-bool AnyWaits(const State& state) {
+bool IsAnyRequestWaiting(const State& state) {
   return std::any_of(
       state.requests.begin(), state.requests.end(),
       [](const auto& it) { return it.second.phase == Phase::kWaiting; });
 }
 
 // All but the works.
-LoadSnapshot OwnSnapshot(State& state, bool partial) {
+LoadSnapshot MakeOwnSnapshot(State& state, bool incremental) {
   LoadSnapshot snapshot{.instance = state.options.instance,
                         .peer_address = state.options.peer_address,
                         .data_centre = state.options.data_centre,
@@ -44,10 +44,10 @@
                         .epoch = state.store.epoch.number,
                         .reconciling_for = ReconcilingFor(state)};
   snapshot.crashes =
-      state.quarantine.RecentCrashes(state.now, /*latest=*/partial);
+      state.quarantine.RecentCrashes(state.now, /*latest=*/incremental);
   snapshot.crash_checks = FingerprintsUnderCheck(state);
-  snapshot.limits = RateLimitsToPublish(state, /*news=*/partial);
-  snapshot.leaving = LeavingToPublish(state, /*news=*/partial);
+  snapshot.limits = RateLimitsToPublish(state, /*news=*/incremental);
+  snapshot.leaving = LeavingToPublish(state, /*news=*/incremental);
   // A placer's line is its own.
   if (state.dispatch.place_locally) snapshot.waiting = WaitingOf(state);
   for (const auto& [name, backend] : state.backends) {
@@ -72,13 +72,14 @@
 }
 
 // Notes what the others are told, and puts what is new of it into `snapshot`.
-void TellWorks(State& state, LoadSnapshot& snapshot) {
+void AddRequestChanges(State& state, LoadSnapshot& snapshot) {
   snapshot.incremental = true;
   for (const auto& [key, request] : state.requests) {
     if (request.phase == Phase::kWaiting) continue;
-    const auto told = state.published_requests.find(request.active_request.id);
-    if (told != state.published_requests.end() &&
-        told->second == request.active_request) {
+    const auto published =
+        state.published_requests.find(request.active_request.id);
+    if (published != state.published_requests.end() &&
+        published->second == request.active_request) {
       continue;
     }
     snapshot.active_requests.push_back(request.active_request);
@@ -87,56 +88,58 @@
   }
   std::erase_if(state.published_requests, [&](const auto& it) {
     const auto found = state.requests.find(it.first);
-    const bool over =
+    const bool finished =
         found == state.requests.end() || found->second.phase == Phase::kWaiting;
-    if (over) snapshot.finished_ids.push_back(it.first);
-    return over;
+    if (finished) snapshot.finished_ids.push_back(it.first);
+    return finished;
   });
 }
 
 // Between two whole snapshots to that daemon.
-Duration WholePause(const State& state, const std::string& peer_address) {
+Duration FullSnapshotInterval(const State& state,
+                              const std::string& peer_address) {
   // Those of other data centres don't tell a hub that they live.
-  if (!SendsUsHeartbeats(state, peer_address)) return kWholeEvery;
+  if (!SendsUsHeartbeats(state, peer_address)) return kFullSnapshotInterval;
   const auto member = state.members.find(peer_address);
   if (member == state.members.end() || !IsLive(state, member->second)) {
-    return kWholeToSilent;
+    return kSilentPeerSnapshotInterval;
   }
-  return state.store.pollers.contains(peer_address) ? kWholeToAsker
-                                                    : kWholeEvery;
+  return state.store.pollers.contains(peer_address) ? kPollerSnapshotInterval
+                                                    : kFullSnapshotInterval;
 }
 
 // Until the next whole snapshot to that daemon; `first`: to tell it the first.
-Duration NextPause(State& state, const std::string& peer, bool first) {
+Duration NextFullSnapshotDelay(State& state, const std::string& peer,
+                               bool first) {
   if (first)
-    return RandomDuration(state,
-                          IsWarmingUp(state) ? kFirstWhole : kWholeEvery);
-  const Duration pause = WholePause(state, peer);
+    return RandomDuration(state, IsWarmingUp(state) ? kFirstSnapshotMaxDelay
+                                                    : kFullSnapshotInterval);
+  const Duration interval = FullSnapshotInterval(state, peer);
   // After first ones that were told close together the moments differ again.
-  return IsWarmingUp(state) ? RandomDuration(state, pause) : pause;
+  return IsWarmingUp(state) ? RandomDuration(state, interval) : interval;
 }
 
-void Apply(const LoadSnapshot& partial, LoadSnapshot& known) {
-  LoadSnapshot next = partial;
-  next.incremental = false;
-  next.instance = known.instance;
-  next.data_centre = known.data_centre;
-  next.capacity = known.capacity;
-  next.finished_ids.clear();
-  next.active_requests = std::move(known.active_requests);
-  std::erase_if(next.active_requests, [&](const ActiveRequest& it) {
+void MergeIncremental(const LoadSnapshot& update, LoadSnapshot& known) {
+  LoadSnapshot merged = update;
+  merged.incremental = false;
+  merged.instance = known.instance;
+  merged.data_centre = known.data_centre;
+  merged.capacity = known.capacity;
+  merged.finished_ids.clear();
+  merged.active_requests = std::move(known.active_requests);
+  std::erase_if(merged.active_requests, [&](const ActiveRequest& it) {
     const auto same = [&](const ActiveRequest& other) {
       return other.id == it.id;
     };
-    return std::find(partial.finished_ids.begin(), partial.finished_ids.end(),
-                     it.id) != partial.finished_ids.end() ||
-           std::any_of(partial.active_requests.begin(),
-                       partial.active_requests.end(), same);
+    return std::find(update.finished_ids.begin(), update.finished_ids.end(),
+                     it.id) != update.finished_ids.end() ||
+           std::any_of(update.active_requests.begin(),
+                       update.active_requests.end(), same);
   });
-  next.active_requests.insert(next.active_requests.end(),
-                              partial.active_requests.begin(),
-                              partial.active_requests.end());
-  known = std::move(next);
+  merged.active_requests.insert(merged.active_requests.end(),
+                                update.active_requests.begin(),
+                                update.active_requests.end());
+  known = std::move(merged);
 }
 
 }  // namespace
@@ -148,15 +151,15 @@
   ApplyCrashes(state, snapshot.crashes);
   ApplyPeerRestore(state, snapshot);
   const auto known = state.members.find(snapshot.peer_address);
-  const bool same_life =
+  const bool same_incarnation =
       known != state.members.end() &&
       known->second.snapshot.incarnation == snapshot.incarnation;
   // A part of nothing says too little.
-  if (snapshot.incremental && !same_life) return;
+  if (snapshot.incremental && !same_incarnation) return;
   Member& member = state.members[snapshot.peer_address];
   const LoadSnapshot& last = member.snapshot;
   const bool newer = snapshot.incarnation > last.incarnation ||
-                     (same_life && snapshot.sequence > last.sequence);
+                     (same_incarnation && snapshot.sequence > last.sequence);
   if (!newer) return;
   if (!IsLive(state, member) || last.serving != snapshot.serving) {
     Log(state, "member",
@@ -165,12 +168,13 @@
          {"life", std::to_string(snapshot.incarnation)}});
   }
   // One that begins to place knows nothing of what was told to others.
-  const bool begins = snapshot.places && !(same_life && last.places);
+  const bool begins_placing =
+      snapshot.places && !(same_incarnation && last.places);
   // One that has just started asks nobody before it hears who places, and
   // proves nothing before it hears of restores.
-  const bool starts =
-      !same_life && (state.dispatch.is_hub || state.dispatch.place_locally);
-  if (begins || starts)
+  const bool just_started = !same_incarnation && (state.dispatch.is_hub ||
+                                                  state.dispatch.place_locally);
+  if (begins_placing || just_started)
     state.full_snapshot_due[snapshot.peer_address] = state.now;
   for (const ServerLimit& it : snapshot.limits) {
     ApplyRateLimit(state, it, /*own=*/false);
@@ -179,9 +183,10 @@
     ApplyLeaving(state, it, /*request=*/"", /*own=*/false);
   }
   const std::vector<ActiveRequest> none;
-  RecordPeerStarts(state, snapshot, same_life ? last.active_requests : none);
+  RecordPeerStarts(state, snapshot,
+                   same_incarnation ? last.active_requests : none);
   if (snapshot.incremental) {
-    Apply(snapshot, member.snapshot);
+    MergeIncremental(snapshot, member.snapshot);
   } else {
     member.snapshot = snapshot;
   }
@@ -198,37 +203,39 @@
 }
 
 void PublishIncrementalSnapshot(State& state) {
-  const bool heartbeat = state.dispatch.place_locally &&
-                         state.now - state.published_at >= kBusyHeartbeat &&
-                         AnyWaits(state);
-  if (!state.has_unpublished_changes && !heartbeat) return;
+  const bool heartbeat_due =
+      state.dispatch.place_locally &&
+      state.now - state.published_at >= kWaitingHeartbeatInterval &&
+      IsAnyRequestWaiting(state);
+  if (!state.has_unpublished_changes && !heartbeat_due) return;
   state.has_unpublished_changes = false;
   state.published_at = state.now;
-  PublishSnapshot effect{.to = {},
-                         .snapshot = OwnSnapshot(state, /*partial=*/true)};
-  TellWorks(state, effect.snapshot);
+  PublishSnapshot effect{
+      .to = {}, .snapshot = MakeOwnSnapshot(state, /*incremental=*/true)};
+  AddRequestChanges(state, effect.snapshot);
   const PublishedHeader header = HeaderOf(effect.snapshot);
-  const bool news_of_endings =
+  const bool crashes_changed =
       std::exchange(state.has_unpublished_crashes, false);
-  const bool all_hear =
+  const bool to_all_live =
       std::exchange(state.published_header, header) != header ||
-      news_of_endings;
-  const bool suspects =
+      crashes_changed;
+  const bool suspicions_changed =
       std::exchange(state.published_suspicions, effect.snapshot.suspicions) !=
       effect.snapshot.suspicions;
-  const bool asks = std::exchange(state.published_crash_checks,
-                                  effect.snapshot.crash_checks) !=
-                    effect.snapshot.crash_checks;
-  const bool news = all_hear || suspects || asks ||
-                    !effect.snapshot.limits.empty() ||
-                    !effect.snapshot.leaving.empty() ||
-                    !effect.snapshot.active_requests.empty() ||
-                    !effect.snapshot.finished_ids.empty();
-  if (!news && !state.dispatch.place_locally) return;
+  const bool crash_checks_changed =
+      std::exchange(state.published_crash_checks,
+                    effect.snapshot.crash_checks) !=
+      effect.snapshot.crash_checks;
+  const bool anything_changed =
+      to_all_live || suspicions_changed || crash_checks_changed ||
+      !effect.snapshot.limits.empty() || !effect.snapshot.leaving.empty() ||
+      !effect.snapshot.active_requests.empty() ||
+      !effect.snapshot.finished_ids.empty();
+  if (!anything_changed && !state.dispatch.place_locally) return;
   for (const auto& [address, member] : state.members) {
-    const bool hears = all_hear ? ReceivesHeartbeats(state, address)
-                                : ReceivesActiveRequests(state, address);
-    if (hears && IsLive(state, member)) effect.to.push_back(address);
+    const bool receives = to_all_live ? ReceivesHeartbeats(state, address)
+                                      : ReceivesActiveRequests(state, address);
+    if (receives && IsLive(state, member)) effect.to.push_back(address);
   }
   RecordSnapshotSent(state);
   if (!effect.to.empty()) state.effects.emplace_back(std::move(effect));
@@ -244,32 +251,33 @@
   }
   std::erase_if(state.full_snapshot_due,
                 [&](const auto& it) { return !peers.contains(it.first); });
-  PublishSnapshot effect;
-  PublishSnapshot with_works;
+  PublishSnapshot header_only;
+  PublishSnapshot with_requests;
   for (const std::string& it : peers) {
     Time& due = state.full_snapshot_due[it];
     if (due > state.now) continue;
     // The first pause is drawn, so that the moments differ from then on.
-    const bool first = due == Time{};
-    due = state.now + NextPause(state, it, first);
-    (ReceivesActiveRequests(state, it) ? with_works : effect).to.push_back(it);
+    const bool is_first = due == Time{};
+    due = state.now + NextFullSnapshotDelay(state, it, is_first);
+    (ReceivesActiveRequests(state, it) ? with_requests : header_only)
+        .to.push_back(it);
   }
-  if (effect.to.empty() && with_works.to.empty()) return;
-  effect.snapshot = OwnSnapshot(state, /*partial=*/false);
-  with_works.snapshot = effect.snapshot;
+  if (header_only.to.empty() && with_requests.to.empty()) return;
+  header_only.snapshot = MakeOwnSnapshot(state, /*incremental=*/false);
+  with_requests.snapshot = header_only.snapshot;
   // A placer is told of a limit when it is named, and again where it places as
   // if it didn't know.
-  if (!state.dispatch.place_locally) with_works.snapshot.limits.clear();
+  if (!state.dispatch.place_locally) with_requests.snapshot.limits.clear();
   // Only those that hear of works go by these.
-  effect.snapshot.limits.clear();
-  effect.snapshot.leaving.clear();
+  header_only.snapshot.limits.clear();
+  header_only.snapshot.leaving.clear();
   for (const auto& [key, request] : state.requests) {
     if (request.phase != Phase::kWaiting) {
-      with_works.snapshot.active_requests.push_back(request.active_request);
+      with_requests.snapshot.active_requests.push_back(request.active_request);
     }
   }
   RecordSnapshotSent(state);
-  for (PublishSnapshot* it : {&with_works, &effect}) {
+  for (PublishSnapshot* it : {&with_requests, &header_only}) {
     if (!it->to.empty()) state.effects.emplace_back(std::move(*it));
   }
 }
--- a/serving/test/snapshots_test.cc
+++ b/serving/test/snapshots_test.cc
@@ -13,7 +13,7 @@
 using test::Daemon;
 using test::PeerSnapshot;
 
-std::set<std::uint64_t> WorkIds(const Daemon& daemon) {
+std::set<std::uint64_t> ActiveRequestIds(const Daemon& daemon) {
   std::set<std::uint64_t> ids;
   const auto& member = daemon.state().members.at("2.2.2.2:2");
   for (const ActiveRequest& it : member.snapshot.active_requests)
@@ -21,33 +21,37 @@
   return ids;
 }
 
-std::vector<LoadSnapshot> Told(const Effects& effects, bool partial) {
-  std::vector<LoadSnapshot> told;
+std::vector<LoadSnapshot> PublishedSnapshots(const Effects& effects,
+                                             bool incremental) {
+  std::vector<LoadSnapshot> snapshots;
   for (const Effect& it : effects) {
     const auto* published = std::get_if<PublishSnapshot>(&it);
-    if (published != nullptr && published->snapshot.incremental == partial) {
-      told.push_back(published->snapshot);
+    if (published != nullptr &&
+        published->snapshot.incremental == incremental) {
+      snapshots.push_back(published->snapshot);
     }
   }
-  return told;
+  return snapshots;
 }
 
 TEST_CASE("A change is told alone, at once") {
   Daemon daemon;
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
   daemon.SendRequest("once");
-  const auto begun = Told(daemon.effects(), /*partial=*/true);
-  REQUIRE(begun.size() == 1);
-  REQUIRE(begun[0].active_requests.size() == 1);
-  CHECK(begun[0].finished_ids.empty());
-  const std::uint64_t first = begun[0].active_requests[0].id;
+  const auto started =
+      PublishedSnapshots(daemon.effects(), /*incremental=*/true);
+  REQUIRE(started.size() == 1);
+  REQUIRE(started[0].active_requests.size() == 1);
+  CHECK(started[0].finished_ids.empty());
+  const std::uint64_t first = started[0].active_requests[0].id;
   daemon.SendRequest("once");
-  const auto second = Told(daemon.effects(), /*partial=*/true);
+  const auto second =
+      PublishedSnapshots(daemon.effects(), /*incremental=*/true);
   REQUIRE(second.size() == 1);
   REQUIRE(second[0].active_requests.size() == 1);
   CHECK(second[0].active_requests[0].id != first);
   daemon.Feed(ClientDisconnected{.key = first});
-  const auto ended = Told(daemon.effects(), /*partial=*/true);
+  const auto ended = PublishedSnapshots(daemon.effects(), /*incremental=*/true);
   REQUIRE(ended.size() == 1);
   CHECK(ended[0].active_requests.empty());
   CHECK(ended[0].finished_ids == std::vector<std::uint64_t>{first});
@@ -74,7 +78,8 @@
   REQUIRE(daemon.state().requests.size() == 1);
   CHECK(daemon.state().requests.begin()->second.phase == Phase::kWaiting);
   // Ten heartbeats, by which the others order theirs.
-  CHECK(Told(daemon.effects(), /*partial=*/true).size() <= 11);
+  CHECK(PublishedSnapshots(daemon.effects(), /*incremental=*/true).size() <=
+        11);
 }
 
 // A daemon that was late by its own load sent on requests whose clients had
@@ -110,49 +115,51 @@
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
   daemon.SendRequest("once");
   daemon.AdvanceTime(milliseconds(1900));
-  const auto whole = Told(daemon.effects(), /*partial=*/false);
-  CHECK(whole.size() >= 2);
-  for (const LoadSnapshot& it : whole) CHECK(it.active_requests.size() == 1);
+  const auto full_snapshots =
+      PublishedSnapshots(daemon.effects(), /*incremental=*/false);
+  CHECK(full_snapshots.size() >= 2);
+  for (const LoadSnapshot& it : full_snapshots)
+    CHECK(it.active_requests.size() == 1);
 }
 
 TEST_CASE("Parts change what a whole snapshot told; the next whole one rules") {
   Daemon daemon;
-  LoadSnapshot whole = PeerSnapshot(1);
-  whole.data_centre = "z";
-  whole.active_requests = {{.id = 1}, {.id = 2}};
-  daemon.Feed(SnapshotReceived{whole});
-  LoadSnapshot part = PeerSnapshot(2);
-  part.instance.clear();
-  part.incremental = true;
-  part.active_requests = {{.id = 2, .decoding = true}, {.id = 3}};
-  part.finished_ids = {1};
-  daemon.Feed(SnapshotReceived{part});
-  CHECK(WorkIds(daemon) == std::set<std::uint64_t>{2, 3});
+  LoadSnapshot full = PeerSnapshot(1);
+  full.data_centre = "z";
+  full.active_requests = {{.id = 1}, {.id = 2}};
+  daemon.Feed(SnapshotReceived{full});
+  LoadSnapshot incremental = PeerSnapshot(2);
+  incremental.instance.clear();
+  incremental.incremental = true;
+  incremental.active_requests = {{.id = 2, .decoding = true}, {.id = 3}};
+  incremental.finished_ids = {1};
+  daemon.Feed(SnapshotReceived{incremental});
+  CHECK(ActiveRequestIds(daemon) == std::set<std::uint64_t>{2, 3});
   const LoadSnapshot& known = daemon.state().members.at("2.2.2.2:2").snapshot;
   CHECK(known.active_requests.size() == 2);
   CHECK(known.instance == "2.2.2.2:1");
   CHECK(known.data_centre == "z");
   // Of a lost part nothing stays wrong.
-  whole.sequence = 9;
-  whole.active_requests = {{.id = 7}};
-  daemon.Feed(SnapshotReceived{whole});
-  CHECK(WorkIds(daemon) == std::set<std::uint64_t>{7});
+  full.sequence = 9;
+  full.active_requests = {{.id = 7}};
+  daemon.Feed(SnapshotReceived{full});
+  CHECK(ActiveRequestIds(daemon) == std::set<std::uint64_t>{7});
   // Nor does a late one change anything.
-  daemon.Feed(SnapshotReceived{part});
-  CHECK(WorkIds(daemon) == std::set<std::uint64_t>{7});
+  daemon.Feed(SnapshotReceived{incremental});
+  CHECK(ActiveRequestIds(daemon) == std::set<std::uint64_t>{7});
 }
 
 TEST_CASE("A part of an unknown daemon or life says nothing") {
   Daemon daemon;
-  LoadSnapshot part = PeerSnapshot(2);
-  part.incremental = true;
-  daemon.Feed(SnapshotReceived{part});
+  LoadSnapshot incremental = PeerSnapshot(2);
+  incremental.incremental = true;
+  daemon.Feed(SnapshotReceived{incremental});
   CHECK(daemon.state().members.empty());
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
-  part.incarnation = 2;
-  part.active_requests = {{.id = 5}};
-  daemon.Feed(SnapshotReceived{part});
-  CHECK(WorkIds(daemon).empty());
+  incremental.incarnation = 2;
+  incremental.active_requests = {{.id = 5}};
+  daemon.Feed(SnapshotReceived{incremental});
+  CHECK(ActiveRequestIds(daemon).empty());
 }
 
 }  // namespace
--- a/serving/test/suspension_test.cc
+++ b/serving/test/suspension_test.cc
@@ -11,7 +11,7 @@
 namespace scaleshed::serving::test {
 namespace {
 
-constexpr Duration kSuspended = seconds(8);
+constexpr Duration kSuspensionTime = seconds(8);
 
 const Refuse* RefusalOf(Daemon& daemon, const std::string& route) {
   daemon.SendRequest(route);
@@ -24,7 +24,7 @@
   daemon.ConfirmStore();
   daemon.SendRequest("stream");
   REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
-  daemon.SetNow(daemon.now() + kSuspended);
+  daemon.SetNow(daemon.now() + kSuspensionTime);
   const Refuse* refusal = RefusalOf(daemon, "stream");
   REQUIRE(refusal != nullptr);
   CHECK(refusal->status == 503);
@@ -35,7 +35,7 @@
   Daemon daemon;
   daemon.ConfirmStore();
   daemon.SendRequest("stream", 2000, seconds(5));
-  daemon.SetNow(daemon.now() + kSuspended);
+  daemon.SetNow(daemon.now() + kSuspensionTime);
   daemon.Feed(Tick{});
   const auto* refusal = daemon.FirstEffect<Refuse>();
   REQUIRE(refusal != nullptr);
@@ -49,7 +49,7 @@
   slack.RecordDaemonCount(kStart, 4);
   const Time awake = kStart + seconds(3599);
   REQUIRE(slack.FractionAt(awake) > 0);
-  CHECK(slack.FractionAt(awake + kSuspended) == 0);
+  CHECK(slack.FractionAt(awake + kSuspensionTime) == 0);
 }
 
 TEST_CASE("A request is not placed by works told before a suspension") {
@@ -59,7 +59,7 @@
   other.active_requests = {{.id = 1, .backend = 2}};
   daemon.Feed(SnapshotReceived{other});
   CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 2);
-  daemon.SetNow(daemon.now() + kSuspended);
+  daemon.SetNow(daemon.now() + kSuspensionTime);
   daemon.Feed(Tick{});
   daemon.ConfirmStore();
   CHECK(LookUpClientAddresses(daemon.state()).addresses.size() == 1);
