--- a/serving/src/snapshots.cc
+++ b/serving/src/snapshots.cc
@@ -216,7 +216,7 @@
   const PublishedHeader header = HeaderOf(effect.snapshot);
   const bool crashes_changed =
       std::exchange(state.has_unpublished_crashes, false);
-  const bool to_all_live =
+  const bool to_heartbeat_recipients =
       std::exchange(state.published_header, header) != header ||
       crashes_changed;
   const bool suspicions_changed =
@@ -227,14 +227,15 @@
                     effect.snapshot.crash_checks) !=
       effect.snapshot.crash_checks;
   const bool anything_changed =
-      to_all_live || suspicions_changed || crash_checks_changed ||
+      to_heartbeat_recipients || suspicions_changed || crash_checks_changed ||
       !effect.snapshot.limits.empty() || !effect.snapshot.leaving.empty() ||
       !effect.snapshot.active_requests.empty() ||
       !effect.snapshot.finished_ids.empty();
   if (!anything_changed && !state.dispatch.place_locally) return;
   for (const auto& [address, member] : state.members) {
-    const bool receives = to_all_live ? ReceivesHeartbeats(state, address)
-                                      : ReceivesActiveRequests(state, address);
+    const bool receives = to_heartbeat_recipients
+                              ? ReceivesHeartbeats(state, address)
+                              : ReceivesActiveRequests(state, address);
     if (receives && IsLive(state, member)) effect.to.push_back(address);
   }
   RecordSnapshotSent(state);
