--- a/serving/src/audience.cc
+++ b/serving/src/audience.cc
@@ -6,31 +6,35 @@
 #include "internal/steps.h"
 #include "scaleshed/serving/reducer.h"
 
-// Who hears what of whom. A few daemons tell each other everything, and each
-// places its own prompts. Told by everyone to everyone, n daemons cost each
-// other n messages a change, so of more of them each tells
-//   - those of its own data centre that it lives (look-ups, who asks the
-//     store),
-//   - the placers, two for all, what it has at engines,
-// and only the hubs, two a data centre, of which the placers are, are heard by
-// all.
+// Placement duties and snapshot recipients. In a small fleet each daemon
+// publishes everything to all others and places its own prompts. That costs n
+// messages for each change among n daemons, so in a larger fleet a daemon sends
+//   - heartbeats to the daemons of its own data centre, which need them for
+//     clients' address queries and to agree on the store pollers, and
+//   - its active requests to the two placers of the fleet.
+// The two hubs of each data centre, from which the placers are chosen, send
+// heartbeats to all daemons.
 namespace scaleshed::serving::internal {
 namespace {
 
-// Up to so many daemons each hears all. At 16 daemons and 45 requests/s that is
-// 2,000 messages a second in all; at 76 with 120 it was 27,000, which delayed
-// answers on links of 20 Mbit/s by some ms.
+// Up to this fleet size each daemon receives all active requests. At 16 daemons
+// and 45 requests/s that is 2,000 messages a second in the fleet; 76 daemons
+// with 120 requests/s send 27,000, which delays responses on links of 20 Mbit/s
+// by several milliseconds.
 constexpr std::size_t kMaxDaemonsPlacingLocally = 16;
-constexpr std::size_t kHubsPerDataCentre = 2;  // of a data centre
-// That a placer died is known by its silence of 2 s only. Where half of the
-// daemons die at once, both placers of them, prompts were placed by each daemon
-// alone for as long, blind to what all others had. So many hubs are asked then
-// before a daemon places alone: with three data centres all that there are, as
-// the first four of them were seen to die together.
+constexpr std::size_t kHubsPerDataCentre = 2;
+// Limit on the hubs that a daemon sends placement requests to, while no placer
+// responds, before it places locally. A dead placer is detected only after 2 s
+// without a snapshot. If half of the daemons die at once and both placers are
+// among them, each daemon would place its prompts locally for that time,
+// without knowing the others' active requests. Two fallback placers are too
+// few, since the first four hubs can die together; with three data centres,
+// four are all hubs besides the placers.
 constexpr std::size_t kMaxFallbackPlacers = 4;
-// An answer to a look-up holds so many addresses at most.
+// Limit on the addresses in the response to a client's addresses query.
 constexpr std::size_t kMaxAddresses = 64;
-// With fewer that serve in this data centre, those of others are named too.
+// If fewer daemons than this serve in this data centre, clients also get the
+// addresses of daemons in other data centres.
 constexpr std::size_t kMinLocalAddresses = 4;
 
 bool ServesInThisDataCentre(const State& state, const Member& member) {
@@ -48,7 +52,7 @@
   return std::find(hubs.begin(), end, state.options.peer_address) != end;
 }
 
-// All hubs, the one that places first at the head.
+// Returns all live hubs in order of preference as placers.
 std::vector<std::string> RankedHubs(const State& state) {
   return StrongestOf(
       state, "placers", state.dispatch.is_hub, [&](const Member& it) {
@@ -56,8 +60,9 @@
       });
 }
 
-// The second one in another data centre than the first, if there is one: a data
-// centre that is cut off takes one placer only.
+// Returns the two placers. The second one is in another data centre than the
+// first, if possible, so that losing the connection to one data centre loses
+// only one placer.
 std::vector<std::string> ChoosePlacers(const State& state,
                                        const std::vector<std::string>& hubs) {
   if (hubs.empty()) return {};
@@ -153,8 +158,8 @@
   PlacementDuties& dispatch = state.dispatch;
   UpdatePlacementMode(state);
   const bool was_hub = dispatch.is_hub;
-  // Who else is there is heard before this daemon takes a duty; who places is
-  // of use at once.
+  // This daemon takes a duty only once it knows the other daemons, but it uses
+  // the placers at once.
   dispatch.is_hub = state.store.has_role && !dispatch.place_locally &&
                     IsAmongStrongestHubs(state);
   const auto hubs =
@@ -166,7 +171,8 @@
     state.has_unpublished_changes = true;
   if (placers == dispatch.placers) return;
   state.has_unpublished_changes = true;
-  // A new placer does not know what was told to others.
+  // A new placer hasn't received the active requests that this daemon published
+  // to the previous placers.
   for (const std::string& it : placers) {
     if (!IsPlacer(state, it)) state.full_snapshot_due[it] = state.now;
   }
@@ -215,7 +221,8 @@
   if (here.size() < kMinLocalAddresses) {
     here.insert(here.end(), elsewhere.begin(), elsewhere.end());
   }
-  // Of more, each daemon names others, so that all are named as often.
+  // Each daemon returns a different selection of too many addresses, so that
+  // all daemons are returned equally often.
   if (here.size() > kMaxAddresses) {
     const std::uint64_t own = HashBytes(state.options.peer_address);
     std::sort(here.begin(), here.end(),
--- a/serving/src/members.cc
+++ b/serving/src/members.cc
@@ -8,11 +8,12 @@
 namespace internal {
 namespace {
 
-// A daemon that has been silent so long is not named to clients, and what it
-// had is forgotten. Longer than two whole snapshots that are lost in a row.
+// A daemon from which no snapshot came for this long isn't live: clients don't
+// get its address, and its active requests don't count. The time allows for two
+// lost full snapshots in a row.
 constexpr Duration kLivenessTimeout = milliseconds(2000);
-// What is needed to take a request and get it to a backend server is done well
-// within this part of the bound for keys.
+// Margin within the key freshness limit for the time from admitting a request
+// to sending it to a backend server.
 constexpr Duration kFreshnessMargin = milliseconds(200);
 
 }  // namespace
@@ -61,7 +62,8 @@
   state.listed_peers.erase(state.options.peer_address);
   state.peers_listed = true;
   UpdatePlacementMode(state);
-  // Those that went long ago are not written to for ever.
+  // Members that are neither live nor listed are erased, so that this daemon
+  // stops sending snapshots to them.
   std::erase_if(state.members, [&](const auto& it) {
     return !IsLive(state, it.second) && !state.listed_peers.contains(it.first);
   });
@@ -107,7 +109,7 @@
        {"version", std::to_string(seen.version)},
        {"routes", std::to_string(seen.routes.size())},
        {"accounts", std::to_string(seen.accounts.size())},
-       // A watch brings a change without proof that it is the newest.
+       // A change from a watch comes without a freshness confirmation.
        {"proved_ms_ago", event.queried_at == Time{}
                              ? ""
                              : Millis(state.now - event.queried_at)}});
@@ -119,25 +121,27 @@
 
 void OnConfiguration(State& state, const ConfigurationReceived& event) {
   const ConfigurationStamp seen = event.configuration.stamp();
-  // A watch says that the store is there, and proves nothing.
+  // A change from a watch shows that the store responds, but confirms no
+  // freshness.
   event.queried_at != Time{} ? RecordStoreReached(state)
                              : RecordStoreResponse(state);
   const bool is_newer = IsNewer(seen, StampOf(state));
-  // A copy's, or read late.
+  // An older configuration comes from a backup or from a read that took long.
   if (!is_newer && seen != state.store.epoch.stored_configuration)
     LogConfigurationKept(state, seen);
-  // Before it is taken: what was known tells whether it was written since a
-  // restore.
+  // This precedes ApplyConfiguration() because the previously known
+  // configuration shows whether this one was written after a restore.
   RecordStoredConfiguration(state, seen);
   if (is_newer) ApplyConfiguration(state, event);
-  // It was the newest when the question was put: what is known is at least as
-  // new, also where a watch has told of a newer one since.
+  // The received configuration was the newest when the query was sent, so the
+  // known one, which a watch may have replaced by a newer one since, is at
+  // least as new.
   ConfirmByStore(state, seen.revision.epoch, event.queried_at);
 }
 
 void OnConfirmed(State& state, const ConfigurationConfirmed& event) {
   RecordStoreReached(state);
-  // That there is none yet is known too.
+  // The confirmation may also say that the store holds no configuration yet.
   const StoreRevision known = StampOf(state).revision;
   if (known.epoch == event.revision.epoch && event.revision > known) return;
   ConfirmByStore(state, event.revision.epoch, event.queried_at);
@@ -151,13 +155,15 @@
 }
 
 ClientAddresses LookUpClientAddresses(const State& state) {
-  // Short, so that a daemon that is gone is soon forgotten; some clients keep
-  // an answer for three times as long, which a planned stop waits for.
+  // The time is short so that clients soon stop using a daemon that is gone.
+  // Some clients keep a response three times as long, which a planned stop
+  // waits for.
   constexpr Duration kTimeToLive = seconds(2);
   ClientAddresses result{.addresses = internal::AddressesFor(state),
                          .time_to_live = kTimeToLive};
   if (!result.addresses.empty()) return result;
-  // Nobody is known to serve: any may come back first.
+  // No daemon is known to serve. The client gets all addresses, since any
+  // daemon may be the first to serve again.
   result.addresses.push_back(state.options.instance);
   for (const auto& [address, member] : state.members) {
     result.addresses.push_back(member.snapshot.instance);
--- a/serving/src/reducer.cc
+++ b/serving/src/reducer.cc
@@ -10,18 +10,21 @@
 namespace internal {
 namespace {
 
-// While requests are in work, their time limits are looked at so often.
+// Tick intervals while there are requests, whose deadlines a tick checks, or
+// other pending work, and while there is none.
 constexpr Duration kBusyTickInterval = milliseconds(20);
 constexpr Duration kIdleTickInterval = milliseconds(200);
-// Who lives, who has which duty and who is to be told again is looked at so
-// often: each look goes over all daemons, and what it finds is due in tenths of
-// a second.
+// Interval of updating liveness, duties and due snapshots. An update iterates
+// over all daemons, and what it decides is due within tenths of a second, so it
+// doesn't run at each tick.
 constexpr Duration kRoleUpdateInterval = milliseconds(50);
-// Longer than a first configuration and the first word of others take (some
-// 100 ms): what has not come by then has no way here.
+// A daemon is warming up for this long after its start. The first configuration
+// and the first snapshots of other daemons take about 100 ms; what hasn't
+// arrived by the end can't reach this daemon.
 constexpr Duration kWarmUpTime = seconds(1);
-// A stopping daemon still takes requests for so long of its grace, as clients
-// keep addresses for a while; then it ends with its last answer.
+// A stopping daemon admits requests for the first share of its shutdown grace,
+// since clients keep using its address for a while. After that it exits with
+// its last response, and at the second share in any case.
 constexpr double kAdmittingShareOfGrace = 0.8;
 constexpr double kMaxShareOfGrace = 0.96;
 
@@ -29,11 +32,14 @@
   if (state.stop_at) return;
   state.stop_at = state.now;
   state.has_unpublished_changes = true;
-  // Its entry is taken away, and others share what it had.
+  // The daemon's store entry is removed, and the other daemons share its part
+  // of the slack.
   state.slack_share.OnEntryRemoved();
   Log(state, "stopping", {{"requests", std::to_string(state.requests.size())}});
 }
 
+// Exits once a stopping daemon has no more requests or its grace is nearly
+// over.
 void FinishStop(State& state) {
   if (!state.stop_at || state.exited) return;
   const Duration elapsed = state.now - *state.stop_at;
@@ -55,7 +61,7 @@
 
 void OnTick(State& state) {
   state.ticked_at = state.now;
-  // Before anything is sent.
+  // What is known expires before the requests below are sent by it.
   DropLapsedBackends(state);
   LogLagChange(state);
   ApplyFirstConfirmation(state);
--- a/serving/src/snapshots.cc
+++ b/serving/src/snapshots.cc
@@ -7,19 +7,22 @@
 namespace scaleshed::serving::internal {
 namespace {
 
-// Each daemon gets a whole snapshot so often: two that are lost in a row don't
-// make a living daemon silent. Those that are not heard, more
-// rarely. Moments differ from daemon to daemon: 75 whole snapshots at once
-// would keep a link of 20 Mbit/s from requests for 15 ms.
+// Each live daemon gets full snapshots at this interval, so short that this
+// daemon stays live there if two in a row are lost. The send times differ
+// between recipients, since 75 full snapshots at once would occupy a link of
+// 20 Mbit/s for 15 ms.
 constexpr Duration kFullSnapshotInterval = milliseconds(800);
+// The interval is longer for daemons that aren't live.
 constexpr Duration kSilentPeerSnapshotInterval = seconds(2);
-// A daemon that has just started says so within this, at a moment that is
-// drawn: who places and who asks the store is agreed by what is heard.
+// A daemon that has just started sends its first full snapshots after a random
+// delay of at most this. The delay is short because the daemons agree on
+// placers and store pollers by the snapshots that they receive.
 constexpr Duration kFirstSnapshotMaxDelay = milliseconds(150);
-// What an asker proves counts from the last snapshot of ours that it has heard.
+// Store pollers get full snapshots more often, since a confirmation that a
+// poller relays counts from this daemon's last snapshot that it received.
 constexpr Duration kPollerSnapshotInterval = milliseconds(400);
-// Changes are told at once; while something waits this often without one, as
-// others order theirs by it.
+// Interval of snapshots without a change while a request waits. The other
+// daemons order their own waiting requests by this daemon's.
 constexpr Duration kWaitingHeartbeatInterval = milliseconds(100);
 
 bool IsAnyRequestWaiting(const State& state) {
@@ -28,7 +31,7 @@
       [](const auto& it) { return it.second.phase == Phase::kWaiting; });
 }
 
-// All but the works.
+// Returns a snapshot without active requests, with the next sequence number.
 LoadSnapshot MakeOwnSnapshot(State& state, bool incremental) {
   LoadSnapshot snapshot{.instance = state.options.instance,
                         .peer_address = state.options.peer_address,
@@ -48,7 +51,7 @@
   snapshot.crash_checks = FingerprintsUnderCheck(state);
   snapshot.limits = RateLimitsToPublish(state, /*news=*/incremental);
   snapshot.leaving = LeavingToPublish(state, /*news=*/incremental);
-  // A placer's line is its own.
+  // With placers, the queue is known only to the placer.
   if (state.dispatch.place_locally) snapshot.waiting = WaitingOf(state);
   for (const auto& [name, backend] : state.backends) {
     if (backend.avoided_until() > state.now) {
@@ -71,7 +74,8 @@
           .reconciled = snapshot.reconciling_for == Duration::zero()};
 }
 
-// Notes what the others are told, and puts what is new of it into `snapshot`.
+// Adds the active requests that changed or finished since the last call to
+// `snapshot`, and records them as published.
 void AddRequestChanges(State& state, LoadSnapshot& snapshot) {
   snapshot.incremental = true;
   for (const auto& [key, request] : state.requests) {
@@ -95,10 +99,11 @@
   });
 }
 
-// Between two whole snapshots to that daemon.
+// Returns the interval between two full snapshots to a daemon.
 Duration FullSnapshotInterval(const State& state,
                               const std::string& peer_address) {
-  // Those of other data centres don't tell a hub that they live.
+  // A hub gets no heartbeats from daemons of other data centres, so it can't
+  // tell which of them are live.
   if (!SendsUsHeartbeats(state, peer_address)) return kFullSnapshotInterval;
   const auto member = state.members.find(peer_address);
   if (member == state.members.end() || !IsLive(state, member->second)) {
@@ -108,17 +113,20 @@
                                                     : kFullSnapshotInterval;
 }
 
-// Until the next whole snapshot to that daemon; `first`: to tell it the first.
+// Returns the delay until the next full snapshot to a daemon, or with `first`
+// until the first one.
 Duration NextFullSnapshotDelay(State& state, const std::string& peer,
                                bool first) {
   if (first)
     return RandomDuration(state, IsWarmingUp(state) ? kFirstSnapshotMaxDelay
                                                     : kFullSnapshotInterval);
   const Duration interval = FullSnapshotInterval(state, peer);
-  // After first ones that were told close together the moments differ again.
+  // The first snapshots leave close together; a random delay spreads the next
+  // ones.
   return IsWarmingUp(state) ? RandomDuration(state, interval) : interval;
 }
 
+// Applies an incremental snapshot to the last known state of its sender.
 void MergeIncremental(const LoadSnapshot& update, LoadSnapshot& known) {
   LoadSnapshot merged = update;
   merged.incremental = false;
@@ -147,14 +155,16 @@
 void OnSnapshot(State& state, const SnapshotReceived& event) {
   const LoadSnapshot& snapshot = event.snapshot;
   if (snapshot.peer_address == state.options.peer_address) return;
-  // These hold whatever else it says, and however late.
+  // Crashes and restores are applied even from a snapshot that is late or can't
+  // be merged.
   ApplyCrashes(state, snapshot.crashes);
   ApplyPeerRestore(state, snapshot);
   const auto known = state.members.find(snapshot.peer_address);
   const bool same_incarnation =
       known != state.members.end() &&
       known->second.snapshot.incarnation == snapshot.incarnation;
-  // A part of nothing says too little.
+  // An incremental snapshot is useless without a full one of the same
+  // incarnation.
   if (snapshot.incremental && !same_incarnation) return;
   Member& member = state.members[snapshot.peer_address];
   const LoadSnapshot& last = member.snapshot;
@@ -167,11 +177,12 @@
          {"serving", snapshot.serving ? "true" : "false"},
          {"life", std::to_string(snapshot.incarnation)}});
   }
-  // One that begins to place knows nothing of what was told to others.
+  // A daemon that begins to place for others hasn't received the active
+  // requests that were published before.
   const bool begins_placing =
       snapshot.places && !(same_incarnation && last.places);
-  // One that has just started asks nobody before it hears who places, and
-  // proves nothing before it hears of restores.
+  // A daemon that has just started sends no placement request before it knows
+  // the placers, and confirms no freshness before it knows of restores.
   const bool just_started = !same_incarnation && (state.dispatch.is_hub ||
                                                   state.dispatch.place_locally);
   if (begins_placing || just_started)
@@ -194,7 +205,7 @@
   ApplyFirstConfirmation(state);
   for (const Suspicion& it : snapshot.suspicions) ApplySuspicion(state, it);
   if (!ReceivesAllActiveRequests(state)) {
-    // Nobody tells it when these end.
+    // This daemon doesn't receive the ends of these active requests.
     member.snapshot.active_requests.clear();
     return;
   }
@@ -257,7 +268,7 @@
   for (const std::string& it : peers) {
     Time& due = state.full_snapshot_due[it];
     if (due > state.now) continue;
-    // The first pause is drawn, so that the moments differ from then on.
+    // A random first delay makes the send times differ from then on.
     const bool is_first = due == Time{};
     due = state.now + NextFullSnapshotDelay(state, it, is_first);
     (ReceivesActiveRequests(state, it) ? with_requests : header_only)
@@ -266,10 +277,10 @@
   if (header_only.to.empty() && with_requests.to.empty()) return;
   header_only.snapshot = MakeOwnSnapshot(state, /*incremental=*/false);
   with_requests.snapshot = header_only.snapshot;
-  // A placer is told of a limit when it is named, and again where it places as
-  // if it didn't know.
+  // A placer gets a rate limit when the server advertises it, and again after a
+  // placement that didn't count it, so full snapshots need not repeat it.
   if (!state.dispatch.place_locally) with_requests.snapshot.limits.clear();
-  // Only those that hear of works go by these.
+  // Only recipients of active requests use rate limits and leaving servers.
   header_only.snapshot.limits.clear();
   header_only.snapshot.leaving.clear();
   for (const auto& [key, request] : state.requests) {
