--- a/serving/test/serving_harness.h
+++ b/serving/test/serving_harness.h
@@ -47,7 +47,8 @@
   return configuration;
 }
 
-// What another daemon tells that serves and has no work.
+// Returns a full snapshot of another daemon that serves and has no active
+// requests.
 inline LoadSnapshot PeerSnapshot(std::uint64_t sequence) {
   return {.instance = "2.2.2.2:1",
           .peer_address = "2.2.2.2:2",
@@ -56,15 +57,16 @@
           .serving = true};
 }
 
-// A daemon's part of the slack of repeats stands as after a long while, and for
-// a longer one.
+// Puts a slack share into the state of a long-running daemon: it holds its part
+// of the retry slack, and does so for another hour.
 inline void HoldSlack(SlackShare& slack) {
   slack.OnEntryConfirmed(kStart - seconds(60), kStart + seconds(3600), true);
   slack.OnDaemonsCounted(kStart + seconds(3600));
 }
 
-// A reducer under a scripted clock, with six engines and three plain backend
-// servers.
+// One daemon's reducer under a scripted clock, with six engines and three plain
+// backend servers. A test feeds it events and looks at the effects, which it
+// carries out itself as far as it needs them.
 class Daemon {
  public:
   Daemon()
@@ -94,11 +96,12 @@
     if (observer_) observer_(effects_);
     return effects_;
   }
-  // Called with the effects of each event.
+  // Calls `observer` with the effects of each event from now on.
   void Observe(std::function<void(const Effects&)> observer) {
     observer_ = std::move(observer);
   }
-  // Time passes with the ticks that were asked for.
+  // Advances the clock, with a tick whenever NextWake() asks for one. effects()
+  // then returns those of all these ticks.
   void AdvanceTime(Duration time) {
     const Time until = now_ + time;
     Effects all;
@@ -110,7 +113,7 @@
     }
     effects_ = std::move(all);
   }
-  // All that it knows of the store is the newest.
+  // Confirms that all the daemon knows of the store is the newest.
   void ConfirmStore() {
     Feed(ConfigurationConfirmed{.revision = {.number = 1}, .queried_at = now_});
     Feed(BackendsConfirmed{.queried_at = now_});
--- a/serving/test/simulated_fleet.h
+++ b/serving/test/simulated_fleet.h
@@ -16,24 +16,28 @@
 
 namespace scaleshed::serving::test {
 
+// Size of a SimulatedFleet and the faults that it injects at random.
 struct SimulatedFleetOptions {
   int daemons = 32;
   int data_centres = 4;
   int engines = 24;
-  int strong_per_data_centre =
-      1;  // machines of each data centre with more capacity
-  bool hold_slack_share =
-      false;              // daemons hold their parts of the slack of repeats
+  // Number of machines with more capacity in each data centre.
+  int strong_per_data_centre = 1;
+  // Whether all daemons hold their slack shares from the start.
+  bool hold_slack_share = false;
   int plain_servers = 0;  // servers of a plain service
-  double message_loss_share = 0;  // of the messages between daemons
-  double stream_reset_share =
-      0;  // of the streams break off after their first event
+  // Share of the messages between daemons that are lost.
+  double message_loss_share = 0;
+  // Share of the streams that are interrupted after their first event.
+  double stream_reset_share = 0;
 };
 
-// Many daemons under one scripted clock, which send each other messages that
-// take a millisecond, before a store that answers at once, engines that give a
-// first event after 100 ms and end after 400 ms, and plain servers that answer
-// after 60 ms. Counts what is sent.
+// Many daemons under one scripted clock in one process, with a simulated store
+// and simulated backend servers. Messages between daemons take a millisecond,
+// the store responds at once, engines send their first event after 100 ms and
+// complete after 400 ms, and plain servers respond after 60 ms. A test sends
+// requests, injects faults and lets time pass; the fleet counts what is sent
+// and keeps a ledger of how the daemons follow server signals.
 class SimulatedFleet {
  public:
   explicit SimulatedFleet(const SimulatedFleetOptions& options)
@@ -50,44 +54,48 @@
     return "z" + std::to_string(i % options_.data_centres);
   }
   State& state(int i) { return *nodes_.at(static_cast<std::size_t>(i)).state; }
-  // By peer address; -1: nobody.
+  // Returns the index of the preferred placer, or -1 if there is none.
   int FirstPlacer() {
     const auto& placers = state(0).dispatch.placers;
     return placers.empty() ? -1 : IndexOf(placers.front());
   }
-  // It does nothing from now on, and says nothing.
+  // Makes a daemon process nothing and send nothing from now on, or undoes
+  // that.
   void FreezeDaemon(int i, bool frozen = true) {
     nodes_.at(static_cast<std::size_t>(i)).frozen = frozen;
     ledger_.Excuse(PeerOf(i));
   }
 
-  // That engine takes requests and says nothing more.
+  // Makes an engine accept requests without ever responding, or undoes that.
   void HangEngine(const std::string& engine, bool hangs = true) {
     hangs ? (void)hanging_.insert(engine) : (void)hanging_.erase(engine);
   }
 
-  // That server names a limit in its answers from now on, or none.
+  // Makes a server advertise a rate limit in its responses from now on, or
+  // none.
   void SetRateLimit(const std::string& server,
                     std::optional<double> per_second) {
     engines_.at(server).limit = per_second;
     ledger_.NameLimit(now_, server, per_second);
   }
-  // It says in its answers from now on that it leaves.
+  // Makes a server say in its responses from now on that it is leaving.
   void SetLeaving(const std::string& server) {
     engines_.at(server).leaving = true;
   }
-  // It turns all requests away and asks for that rest each time, or no longer.
+  // Makes a server refuse all requests and ask for that backoff each time; zero
+  // ends it.
   void SetBackoff(const std::string& server, Duration rest) {
     engines_.at(server).rest = rest;
   }
   const testing::ServerLedger& ledger() const { return ledger_; }
-  // No message of another daemon reaches it, and none of its reaches any.
+  // Drops all messages between a daemon and the others, or delivers them again.
   void IsolateDaemon(int i, bool isolated) {
     nodes_.at(static_cast<std::size_t>(i)).isolated = isolated;
     if (isolated) ledger_.Excuse(PeerOf(i));
   }
 
-  // Its process is killed and starts anew, with what the store holds.
+  // Kills a daemon's process and starts a new incarnation, which knows what the
+  // store holds.
   void RestartDaemon(int i) {
     ledger_.Excuse(PeerOf(i));
     Node& node = nodes_.at(static_cast<std::size_t>(i));
@@ -102,22 +110,24 @@
     TellAll(i);
     Feed(i, Peers());
   }
-  // Writes are refused, and nobody is told of any, as long as it is.
+  // While the store is unreachable, it refuses writes and sends no changes.
   void SetStoreUnreachable(bool cut) { store_cut_ = cut; }
   const std::map<std::uint64_t, StoredCrashes>& stored() const {
     return stored_;
   }
   std::size_t saves() const { return saves_; }
 
-  // Each engine that runs that content ends kDeathAfter later, and another life
-  // begins at its address kDownFor after that.
+  // Makes requests with a fingerprint poison requests: an engine that starts
+  // one crashes kDeathAfter later, and its next incarnation starts at the same
+  // address kDownFor after that.
   void MakeCrashing(std::uint64_t content) { deadly_.insert(content); }
-  // When engines ended, and when the content was sent, in this order.
+  // Return, in order of time, when engines crashed and when poison requests
+  // were sent.
   const std::vector<Time>& crash_times() const { return ends_; }
   const std::vector<Time>& crashing_send_times() const { return deadly_sends_; }
   Time now() const { return now_; }
 
-  // A prompt comes to that daemon.
+  // Sends a prompt to a daemon.
   RequestKey SendPrompt(int daemon, std::int64_t prompt,
                         Duration deadline = seconds(15),
                         std::uint64_t content = 0) {
@@ -127,11 +137,13 @@
                            .answer_tokens = 500,
                            .fingerprint = content});
   }
-  // A call of the plain service.
+  // Sends a request for the plain service to a daemon.
   RequestKey SendPlainRequest(int daemon, Duration deadline = seconds(4)) {
     return Arrive(daemon, {.path = "/safe/x", .deadline = deadline});
   }
 
+  // Advances the clock in steps of a millisecond, with all messages, server
+  // events and ticks that are due.
   void AdvanceTime(Duration time) {
     const Time until = now_ + time;
     while (now_ < until) {
@@ -141,27 +153,29 @@
       for (int i = 0; i < options_.daemons; ++i) {
         if (NextWake(state(i)) <= now_) Feed(i, Tick{});
       }
-      // The store's word, for those that ask.
+      // The store confirms every 500 ms that what the daemons know is newest.
       if ((now_ - kStart) % milliseconds(500) == Duration::zero()) ProveAll();
     }
   }
 
-  // How long each prompt waited to be sent; and where it went.
+  // Returns how long each request waited for its last send. sends() returns the
+  // number of sends to each server.
   const std::map<RequestKey, Duration>& waits() const { return waits_; }
   const std::map<std::string, int>& sends() const { return sends_; }
-  // Of each send, in their order.
+  // Returns the number of prefill helpers of each send of a request, in order.
   const std::map<RequestKey, std::vector<std::size_t>>& helpers() const {
     return helpers_;
   }
   const std::map<RequestKey, int>& refusals() const { return refusals_; }
+  // A refusal that a daemon returned, and how long after the request's arrival.
   struct Refused {
     Refuse refusal;
     Duration after{};
   };
   const std::vector<Refused>& refused() const { return refused_; }
-  // Whole answers.
+  // Returns the requests that got a complete response.
   const std::set<RequestKey>& answered() const { return answered_; }
-  // Log lines of that name so far.
+  // Returns the number of log lines of an event so far.
   std::size_t log_line_count(const std::string& what) const {
     const auto it = lines_.find(what);
     return it == lines_.end() ? 0 : it->second;
@@ -188,8 +202,8 @@
     std::string data_centre;
     std::uint64_t revision = 1;
     int life = 0;
-    Time dies = Time::max();  // while it runs a deadly request
-    Time back = Time::max();  // while it is down
+    Time dies = Time::max();  // set while it runs a poison request
+    Time back = Time::max();  // set while it is down
     std::vector<Attempt> attempts;
   };
 
@@ -197,7 +211,7 @@
     std::unique_ptr<State> state;
     bool frozen = false;
     bool isolated = false;
-    std::size_t heard = 0;  // messages
+    std::size_t heard = 0;  // messages received
   };
   struct Message {
     int to = 0;
@@ -252,7 +266,7 @@
     }
   }
 
-  // All that the store holds.
+  // Feeds all that the store holds to a daemon.
   void TellAll(int i) {
     Feed(i, ConfigurationReceived{.configuration = MakeConfiguration(1),
                                   .queried_at = now_});
@@ -276,7 +290,8 @@
     return all;
   }
 
-  // As the store does it: all or none, and those who watch are told.
+  // Writes all crashes or, if one has another revision than expected, none, as
+  // the store does, and sends the changes to the daemons that watch it.
   void Save(int from, const SaveCrashes& save) {
     ++saves_;
     const bool holds = std::all_of(
@@ -295,7 +310,8 @@
       }
     }
     After(milliseconds(5), from, SaveCrashesFinished{});
-    // A list where it conflicts, or where no watch tells what was written.
+    // A daemon lists all crashes after a conflict, or if it has no watch that
+    // returns what it wrote.
     if (!holds || !state(from).store.watching) {
       if (!store_cut_) After(milliseconds(10), from, ListedEndings());
     }
@@ -308,7 +324,8 @@
     }
   }
 
-  // Those that run a deadly request end, and those that ended come back.
+  // Crashes engines that run a poison request and restarts those that crashed,
+  // at their times.
   void PlayEngines() {
     if (deadly_.empty()) return;
     std::vector<std::string> back;
@@ -467,7 +484,8 @@
     return std::uniform_real_distribution<double>(0, 1)(draws_) < share;
   }
 
-  // The same for a request's first, second and further sends, wherever they go.
+  // Whether the current send of a request is interrupted. That depends only on
+  // the request and the number of the send, not on the server.
   bool IsReset(RequestKey key) const {
     constexpr std::uint64_t kParts = 1000;
     const std::uint64_t draw =
@@ -496,7 +514,8 @@
     ++nodes_.at(static_cast<std::size_t>(to)).heard;
     After(milliseconds(1), to, std::move(body));
   }
-  // `server`: whose answer it is the head of.
+  // Delivers an event to daemon `to` after a delay. `server` is set for the
+  // head of a response of that server.
   void After(Duration delay, int to, EventBody body,
              const std::string& server = "") {
     messages_underway_.emplace(
@@ -510,7 +529,7 @@
       Message message = std::move(messages_underway_.begin()->second);
       messages_underway_.erase(messages_underway_.begin());
       const auto* it = std::get_if<ResponseHeadReceived>(&message.body);
-      // The daemon may have given the attempt up, and then hears nothing of it.
+      // A daemon that has dropped the attempt ignores the response's head.
       if (it != nullptr && state(message.to).attempts.contains(it->attempt)) {
         NoteWord(message, it->signals);
       }
--- a/serving/test/simulated_fleet_load.h
+++ b/serving/test/simulated_fleet_load.h
@@ -8,22 +8,26 @@
 
 #include "simulated_fleet.h"
 
-// Load for a Hall, and what has to hold whatever its servers say.
+// Load for a SimulatedFleet, and checks that hold whatever its servers
+// advertise.
 namespace scaleshed::serving::test {
 
+// Rates of the requests that RunLoad() sends, and for how long.
 struct Load {
-  double prompts = 40;  // a second
-  double calls = 0;     // of the plain service
+  double prompts = 40;  // prompts a second
+  double calls = 0;     // requests a second to the plain service
   Duration length = seconds(12);
   Duration deadline = seconds(10);
 };
 
+// How many requests RunLoad() sent, and how many got a complete response.
 struct LoadResult {
   std::size_t sent = 0;
   std::size_t answered = 0;
 };
 
-// Requests come at drawn daemons. `at` is called at each step.
+// Sends requests to random daemons for the length of `load`, then waits 3 s for
+// responses. Calls `at` before each step of 5 ms.
 inline LoadResult RunLoad(
     SimulatedFleet& hall, int daemons, const Load& load,
     const std::function<void()>& at = [] {}) {
@@ -54,6 +58,8 @@
   return outcome;
 }
 
+// Fails the test for each rate limit, leaving notice or backoff of a server
+// that the daemons didn't keep to.
 inline void CheckServerLimitsHeld(const SimulatedFleet& hall) {
   for (const auto& it : hall.ledger().WorstLimitWindows()) {
     UNSCOPED_INFO(it.server << ": " << it.requests << " of " << it.allowed);
@@ -61,6 +67,7 @@
   for (const std::string& it : hall.ledger().Broken()) FAIL_CHECK(it);
 }
 
+// A small fleet places locally; medium and large ones have placers.
 inline constexpr SimulatedFleetOptions kSmallFleet{
     .daemons = 8, .data_centres = 3, .engines = 18, .plain_servers = 3};
 inline constexpr SimulatedFleetOptions kMediumFleet{
--- a/serving/test/snapshots_test.cc
+++ b/serving/test/snapshots_test.cc
@@ -1,4 +1,4 @@
-// What daemons tell each other of themselves.
+// Tests of the snapshots that daemons publish to each other.
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -34,7 +34,7 @@
   return snapshots;
 }
 
-TEST_CASE("A change is told alone, at once") {
+TEST_CASE("Each change is published alone and at once") {
   Daemon daemon;
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
   daemon.SendRequest("once");
@@ -57,12 +57,13 @@
   CHECK(ended[0].finished_ids == std::vector<std::uint64_t>{first});
 }
 
-// Of 295 daemons with small links each told all others a hundred times a second
-// that it still had a prompt waiting; requests and answers waited behind that.
-TEST_CASE("That a prompt goes on waiting is not told at each look") {
+// Guards against a snapshot at each re-evaluation of a waiting prompt: 295
+// daemons with slow links sent one to all others a hundred times a second,
+// which delayed requests and responses.
+TEST_CASE("A waiting prompt doesn't cause a snapshot at each re-evaluation") {
   Daemon daemon;
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
-  // The engines are busy with a prompt of another daemon.
+  // All engines are busy with prompts of another daemon.
   LoadSnapshot busy = PeerSnapshot(2);
   for (std::uint64_t i = 0; i < 6; ++i) {
     busy.active_requests.push_back(
@@ -77,16 +78,17 @@
   daemon.AdvanceTime(milliseconds(1000));
   REQUIRE(daemon.state().requests.size() == 1);
   CHECK(daemon.state().requests.begin()->second.phase == Phase::kWaiting);
-  // Ten heartbeats, by which the others order theirs.
+  // Ten heartbeats, by which the other daemons order their waiting requests,
+  // and one snapshot of the change.
   CHECK(PublishedSnapshots(daemon.effects(), /*incremental=*/true).size() <=
         11);
 }
 
-// A daemon that was late by its own load sent on requests whose clients had
-// given up before it came to them.
-TEST_CASE("A prompt whose time is over is not sent when room is told late") {
+// Guards against sending requests whose clients have given up, as a daemon did
+// that was behind because of its own load.
+TEST_CASE("A prompt is not sent when capacity shows up after its deadline") {
   Daemon daemon;
-  // Each engine has twice as many as it writes for at a time.
+  // Each engine has twice as many decoding requests as it has slots.
   LoadSnapshot busy = PeerSnapshot(1);
   for (std::uint64_t i = 0; i < 6 * 32; ++i) {
     busy.active_requests.push_back(
@@ -101,7 +103,7 @@
   daemon.SendRequest("stream", 2000, milliseconds(500));
   REQUIRE(daemon.state().requests.size() == 1);
   CHECK(daemon.state().requests.begin()->second.phase == Phase::kWaiting);
-  // Nothing is looked at until its time is over.
+  // The daemon processes no event until the deadline has passed.
   daemon.SetNow(daemon.now() + milliseconds(501));
   daemon.Feed(SnapshotReceived{PeerSnapshot(2)});
   CHECK(daemon.FirstEffect<StartAttempt>() == nullptr);
@@ -110,7 +112,7 @@
   CHECK(refused->status == 503);
 }
 
-TEST_CASE("Each daemon gets whole snapshots in turn") {
+TEST_CASE("Each daemon gets full snapshots at an interval") {
   Daemon daemon;
   daemon.Feed(SnapshotReceived{PeerSnapshot(1)});
   daemon.SendRequest("once");
@@ -122,7 +124,7 @@
     CHECK(it.active_requests.size() == 1);
 }
 
-TEST_CASE("Parts change what a whole snapshot told; the next whole one rules") {
+TEST_CASE("The next full snapshot replaces what incremental ones changed") {
   Daemon daemon;
   LoadSnapshot full = PeerSnapshot(1);
   full.data_centre = "z";
@@ -139,17 +141,17 @@
   CHECK(known.active_requests.size() == 2);
   CHECK(known.instance == "2.2.2.2:1");
   CHECK(known.data_centre == "z");
-  // Of a lost part nothing stays wrong.
+  // The next full snapshot also corrects what a lost incremental one left out.
   full.sequence = 9;
   full.active_requests = {{.id = 7}};
   daemon.Feed(SnapshotReceived{full});
   CHECK(ActiveRequestIds(daemon) == std::set<std::uint64_t>{7});
-  // Nor does a late one change anything.
+  // An incremental snapshot that comes late changes nothing.
   daemon.Feed(SnapshotReceived{incremental});
   CHECK(ActiveRequestIds(daemon) == std::set<std::uint64_t>{7});
 }
 
-TEST_CASE("A part of an unknown daemon or life says nothing") {
+TEST_CASE("An incremental snapshot of an unknown incarnation is ignored") {
   Daemon daemon;
   LoadSnapshot incremental = PeerSnapshot(2);
   incremental.incremental = true;
--- a/serving/test/suspension_test.cc
+++ b/serving/test/suspension_test.cc
@@ -1,8 +1,8 @@
-// A machine may be suspended: between two events of its daemon the clock goes
-// on by seconds, and nothing happens here. Read from a clock that stands still
-// meanwhile, all that ages was taken for younger by as much: the list of
-// backend servers, accounts' keys, a part of the slack that others share by
-// now.
+// Tests of a suspended machine: between two events of its daemon the clock
+// advances by seconds. With a clock that stands still during a suspension, a
+// daemon would take everything that ages for younger by that time: the list of
+// backend servers, the accounts' keys, and its slack share, which other daemons
+// have taken over by then.
 
 #include <catch2/catch.hpp>
 
@@ -19,7 +19,7 @@
   return daemon.FirstEffect<Refuse>();
 }
 
-TEST_CASE("What was proved before a suspension is not gone by after it") {
+TEST_CASE("A freshness confirmation expires during a suspension") {
   Daemon daemon;
   daemon.ConfirmStore();
   daemon.SendRequest("stream");
@@ -31,7 +31,7 @@
   CHECK_FALSE(IsServing(daemon.state()));
 }
 
-TEST_CASE("A time limit that passed in a suspension is over at once") {
+TEST_CASE("A deadline that passes during a suspension is applied at once") {
   Daemon daemon;
   daemon.ConfirmStore();
   daemon.SendRequest("stream", 2000, seconds(5));
@@ -43,7 +43,7 @@
   CHECK(daemon.FirstEffect<CancelAttempt>() != nullptr);
 }
 
-TEST_CASE("A part of the slack ends in a suspension as it does without one") {
+TEST_CASE("A slack share expires during a suspension as it does without one") {
   SlackShare slack(seconds(10));
   HoldSlack(slack);
   slack.RecordDaemonCount(kStart, 4);
@@ -52,7 +52,7 @@
   CHECK(slack.FractionAt(awake + kSuspensionTime) == 0);
 }
 
-TEST_CASE("A request is not placed by works told before a suspension") {
+TEST_CASE("Active requests from before a suspension don't count after it") {
   Daemon daemon;
   daemon.ConfirmStore();
   LoadSnapshot other = PeerSnapshot(1);
