--- a/serving/test/serving_harness.h
+++ b/serving/test/serving_harness.h
@@ -65,8 +65,8 @@
 }
 
 // One daemon's reducer under a scripted clock, with six engines and three plain
-// backend servers. A test feeds it events and looks at the effects, which it
-// carries out itself as far as it needs them.
+// backend servers. A test feeds it events and checks the effects. The harness
+// carries out no effect: the test feeds the events that would follow from one.
 class Daemon {
  public:
   Daemon()
