--- a/serving/include/scaleshed/serving/dispatch.h
+++ b/serving/include/scaleshed/serving/dispatch.h
@@ -32,10 +32,11 @@
   Time arrived{};
   Time due{};  // objective time
   Time deadline{};
-  Duration max_event_gap{};            // the longest that meets the objective
-  std::vector<BackendId> excluded;     // not to be used for this prompt
-  std::vector<BackendId> backing_off;  // the requesting daemon backs off from
-  std::uint64_t fingerprint = 0;       // zero: unknown
+  Duration max_event_gap{};         // the longest that meets the objective
+  std::vector<BackendId> excluded;  // not to be used for this prompt
+  // Servers that the requesting daemon backs off from.
+  std::vector<BackendId> backing_off;
+  std::uint64_t fingerprint = 0;  // zero: unknown
   // The requesting daemon has seen that a server may have crashed under this
   // fingerprint. The placer may learn that only after this request.
   bool crash_suspected = false;
--- a/serving/include/scaleshed/serving/placement.h
+++ b/serving/include/scaleshed/serving/placement.h
@@ -14,9 +14,9 @@
 
 // The time that one engine with nothing else to do takes to prefill a prompt.
 Duration PrefillTime(const EngineTiming& timing, std::int64_t prompt_tokens);
-// The time in which an engine that decodes `writers` requests and prefills none
-// produces one event of each stream: `tokens_per_event` engine steps.
-Duration DecodeStepTime(const EngineTiming& timing, std::int64_t writers,
+// The time in which an engine that decodes `decoding` requests and prefills
+// none produces one event of each stream: `tokens_per_event` engine steps.
+Duration DecodeStepTime(const EngineTiming& timing, std::int64_t decoding,
                         std::int64_t context_tokens);
 
 // A prompt that one engine prefills within this limit counts as short: a single
@@ -48,12 +48,12 @@
   std::int64_t context_tokens = 0;  // of the decoding requests
 };
 
-// Adds the load that the active requests in `works` cause to `engines`, which
-// must be sorted by id. The order by id is the same for every daemon, so that
-// all of them fill the same engines first.
+// Adds the load that the active requests in `active_requests` cause to
+// `engines`, which must be sorted by id. The order by id is the same for every
+// daemon, so that all of them fill the same engines first.
 std::vector<EngineView> BuildPoolView(
     const EngineTiming& timing, std::vector<EngineView> engines,
-    const std::vector<const ActiveRequest*>& works, Time now);
+    const std::vector<const ActiveRequest*>& active_requests, Time now);
 
 // What PlacePrompt() needs to know of the prompt to place.
 struct PlacementQuery {
--- a/serving/include/scaleshed/serving/state.h
+++ b/serving/include/scaleshed/serving/state.h
@@ -59,7 +59,8 @@
   // this time.
   std::optional<Time> tombstone_until;
   // Set when the entry disappeared from the store, possibly only because its
-  // lease expired while the store was unavailable.
+  // lease expired while the store was unavailable: when to drop the server
+  // unless its entry comes back.
   std::optional<Time> gone_at;
   // The server gets no new requests until these times: the first because of
   // failed attempts, the second because of a slow engine's reports or a backoff
@@ -154,8 +155,8 @@
   Time backends_confirmed_at{};
   // The store's last response to this daemon or to one that published it.
   Time last_response_at{};
-  // When this daemon sent the first query after the last one that the store
-  // responded to.
+  // When this daemon sent its first query since the store's last response to
+  // it; unset while none is unanswered.
   std::optional<Time> unanswered_query_since;
   Time recovered_at{};  // first response to this daemon after unresponsiveness
   bool logged_as_lagging = false;  // whether the last logged state was lagging
@@ -208,9 +209,9 @@
 };
 
 // A liveness check of a backend incarnation at which a response was
-// interrupted. It probes the server's address until the server proves alive or
-// its process proves ended. In the second case, a crash is recorded for every
-// request that was interrupted there.
+// interrupted. It probes the server's address until the server proves alive,
+// its process proves ended, or too much time has passed. If the process has
+// ended, a crash is recorded for every request that was interrupted there.
 struct LivenessCheck {
   std::string address;
   Time since{};
--- a/serving/include/scaleshed/serving/work.h
+++ b/serving/include/scaleshed/serving/work.h
@@ -57,7 +57,7 @@
 
 // The text form of a request fingerprint or of a BackendId in logs, in the
 // store and for operators; empty for zero.
-std::string FingerprintText(std::uint64_t content);
+std::string FingerprintText(std::uint64_t fingerprint);
 
 // A backend incarnation that ended while it ran a request with the given
 // fingerprint (RequestMetadata::fingerprint), which doesn't prove that the
--- a/serving/src/internal/steps.h
+++ b/serving/src/internal/steps.h
@@ -21,7 +21,7 @@
 // refuses early requests that waited too long.
 void AdmitEarlyRequests(State& state);
 void OnClientGone(State& state, const ClientDisconnected& event);
-void RefuseRequest(State& state, Request& request, Refusal why,
+void RefuseRequest(State& state, Request& request, Refusal reason,
                    Duration retry_after);
 // Erases a request whose response is complete or was aborted.
 void EraseRequest(State& state, RequestKey key);
@@ -29,19 +29,21 @@
 // at its backend server.
 void EndAttempt(State& state, Request& request, bool cancel);
 // Drops an attempt that was not sent; the request is placed again after
-// `pause`.
-void Requeue(State& state, Request& request, Duration pause);
+// `delay`.
+void Requeue(State& state, Request& request, Duration delay);
 
 // starting.cc: starts requests, or queues them until they can start.
 
 void TryStart(State& state, Request& request);
 // Places a request by what this daemon itself knows, without a placer.
 void PlaceLocally(State& state, Request& request);
-// Begins an attempt at the backend servers that `placed` names.
+// Begins an attempt at the backend servers that `placement` names.
 void StartPlacedAttempt(State& state, Request& request,
-                        const Placement& placed);
-// Keeps the request waiting for want of `of`; it is placed again after `pause`.
-void QueueRequest(State& state, Request& request, Duration pause, Shortage of);
+                        const Placement& placement);
+// Keeps the request waiting because of `shortage`; it is placed again after
+// `delay`.
+void QueueRequest(State& state, Request& request, Duration delay,
+                  Shortage shortage);
 void StartWaitingRequests(State& state);
 void OnMemoryAnswered(State& state, const MemoryReservationAnswered& event);
 void RenewReservations(State& state, Request& request);
@@ -76,7 +78,7 @@
   Shortage shortage = Shortage::kEngines;
 };
 // Returns the refusal that the client gets for a shortage.
-Refusal RefusalFor(Shortage of);
+Refusal RefusalFor(Shortage shortage);
 using PlacementDecision =
     std::variant<Placement, NoCapacityNow, TooLarge, DeadlineUnreachable>;
 PlacementDecision DecidePlacement(State& state, const PlacementDemand& demand);
@@ -90,13 +92,13 @@
 void RequestRemotePlacement(State& state, Request& request);
 // Withdraws the placement request of a waiting request that has ended.
 void WithdrawPlacement(State& state, const Request& request);
-void OnPlacementResponse(State& state, const PlacementResponse& answer);
-void OnPlacementRequest(State& state, const PlacementRequest& question);
+void OnPlacementResponse(State& state, const PlacementResponse& response);
+void OnPlacementRequest(State& state, const PlacementRequest& request);
 // Tries again to place the waiting prompts of other daemons.
 void RetryRemotePlacements(State& state);
 // Drops the placements made for a daemon that the daemon's own published active
 // requests now cover.
-void DropPublishedPlacements(State& state, const LoadSnapshot& told);
+void DropPublishedPlacements(State& state, const LoadSnapshot& snapshot);
 
 // audience.cc: placement duties, and which daemons receive whose snapshots.
 
@@ -134,12 +136,12 @@
 
 // queue.cc: the queue of waiting long prompts, in one order for all daemons.
 
-// Returns a prompt's queue key. Prompts start in the order of their keys;
-// `read` is the prompt's prefill time.
-Time QueueKeyOf(const State& state, Time arrived, Time due, Duration read);
+// Returns a prompt's queue key. Prompts start in the order of their keys.
+Time QueueKeyOf(const State& state, Time arrived, Time due,
+                Duration prefill_time);
 Time QueueKeyOf(const State& state, const PlacementDemand& demand);
 Time QueueKeyOf(const State& state, const Request& request);
-Time QueueKeyOf(const State& state, const RemotePlacement& asked);
+Time QueueKeyOf(const State& state, const RemotePlacement& placement);
 // Whether the request waits until a server's rate limit admits it.
 bool AwaitsRateLimit(const Request& request);
 // Returns this daemon's waiting requests for the queue of all daemons.
@@ -160,7 +162,7 @@
 // Returns a value if the prompt can't be served before its deadline.
 std::optional<DeadlineUnreachable> CheckDeadline(State& state,
                                                  const PlacementDemand& demand,
-                                                 const QueueEstimate& outlook);
+                                                 const QueueEstimate& estimate);
 
 // repeats.cc: decides whether a request may be sent once more.
 
@@ -197,7 +199,7 @@
 void ExpireAttempts(State& state);
 // Fails the attempts at a backend incarnation that has ended and was replaced
 // under the same instance id.
-void FailAttemptsAt(State& state, BackendId life);
+void FailAttemptsAt(State& state, BackendId backend);
 
 // backends.cc: tracks the listed backend servers and their health.
 
@@ -205,20 +207,21 @@
 // apply to the server's next incarnation.
 BackendId IdOf(const BackendServer& server);
 Backend* FindBackend(State& state, BackendId id);
-// Whether the server is listed and isn't leaving.
+// Whether the server's entry is valid, not leaving, and not kept out as a
+// restored tombstone.
 bool TakesWork(const Backend& backend);
 void OnListed(State& state, const BackendServer& server);
 void OnUnlisted(State& state, const BackendUnlisted& event);
 void OnAllListed(State& state, const BackendsListed& event);
 void DropLapsedBackends(State& state);
 void RecordSuccess(State& state, BackendId id);
-void RecordFailure(State& state, BackendId id, const std::string& why);
+void RecordFailure(State& state, BackendId id, const std::string& reason);
 void RecordFailedResponse(State& state, BackendId id);
-void RecordBackendGone(State& state, BackendId id, const std::string& why);
+void RecordBackendGone(State& state, BackendId id, const std::string& reason);
 // Keeps new requests away from the server for `length`, unless too many servers
 // are kept out already.
 void SuspectBackend(State& state, Backend& backend, Duration length,
-                    const std::string& why);
+                    const std::string& reason);
 // Keeps new requests away, in the manner of SuspectBackend(), from an engine
 // that reports a slowdown; the engine's next good report ends it.
 void AvoidSlowBackend(State& state, Backend& backend, Duration length);
@@ -235,17 +238,17 @@
 // Ends the probation of each server that decodes an active request which began
 // during the probation.
 void EndProbations(State& state,
-                   const std::vector<const ActiveRequest*>& works);
+                   const std::vector<const ActiveRequest*>& requests);
 // Returns the servers of a service that take new requests.
 std::vector<const Backend*> OpenBackends(const State& state,
                                          const std::string& service);
 
 // endings.cc: crashes of backend servers and quarantine of the requests that
-// may cause them. `content` is a request fingerprint.
+// may cause them.
 
 // Records that a backend incarnation ended while it ran a request with that
 // fingerprint.
-void RecordCrash(State& state, std::uint64_t content, BackendId life);
+void RecordCrash(State& state, std::uint64_t fingerprint, BackendId backend);
 // Applies stored crashes that come by watch, relay or list.
 void OnCrashesStored(State& state, const StoredCrashes& stored);
 void OnAllCrashesListed(State& state, const AllCrashesListed& event);
@@ -257,16 +260,16 @@
 // that happened while it ran had another cause.
 void ClearAfterSuccess(State& state, const Request& request);
 // Applies crashes that another daemon publishes.
-void ApplyCrashes(State& state, const std::vector<Crash>& endings);
+void ApplyCrashes(State& state, const std::vector<Crash>& crashes);
 // Refuses a request whose fingerprint is quarantined. Returns whether it did.
 bool RefuseIfQuarantined(State& state, Request& request);
 // Whether a crash check is under way that may add a crash to the fingerprint.
-bool AwaitsCrashCheck(const State& state, std::uint64_t content);
+bool AwaitsCrashCheck(const State& state, std::uint64_t fingerprint);
 // Whether an attempt with the fingerprint was just interrupted at a server that
 // may still run.
-bool AwaitsLivenessSignal(const State& state, std::uint64_t content);
+bool AwaitsLivenessSignal(const State& state, std::uint64_t fingerprint);
 // Whether the fingerprint may be what crashes servers.
-bool IsCrashSuspected(const State& state, std::uint64_t content);
+bool IsCrashSuspected(const State& state, std::uint64_t fingerprint);
 // Returns the fingerprints that this daemon's crash checks are about, for the
 // other daemons to wait for as well.
 std::vector<std::uint64_t> FingerprintsUnderCheck(const State& state);
@@ -285,24 +288,24 @@
                         const std::vector<const Backend*>& open);
 // Records where a request that is subject to isolation goes.
 void RecordIsolation(State& state, const PlacementDemand& demand,
-                     const Isolation& with);
+                     const Isolation& isolation);
 
 // life_checks.cc: liveness checks of backend servers at which responses were
 // interrupted.
 
-void CheckLiveness(State& state, const Request& request, BackendId life);
+void CheckLiveness(State& state, const Request& request, BackendId backend);
 void OnLivenessProbed(State& state, const LivenessProbed& event);
 // Applies the end of a backend incarnation, whichever daemon detected it.
-void EndIncarnation(State& state, BackendId life);
+void EndIncarnation(State& state, BackendId backend);
 // Records a liveness signal that came just now.
-void RecordAlive(State& state, BackendId life);
+void RecordAlive(State& state, BackendId backend);
 void RepeatLivenessProbes(State& state);
 
 // server_limits.cc: rate limits that backend servers advertise.
 
 // Returns the limit in requests a second, or nothing if none is in force.
-std::optional<double> RateLimitOf(const State& state, BackendId life);
-bool IsRateLimited(const State& state, BackendId life);
+std::optional<double> RateLimitOf(const State& state, BackendId backend);
+bool IsRateLimited(const State& state, BackendId backend);
 bool AnyRateLimited(const State& state, const std::string& service);
 // Returns those of `open` whose rate limit admits one more request now.
 std::vector<const Backend*> BackendsWithinRateLimit(
@@ -313,43 +316,45 @@
                                    const std::vector<const Backend*>& open);
 // Counts a request against the rate limit of a server, whichever daemon sends
 // it.
-void RecordStart(State& state, BackendId life);
-void RecordStart(State& state, const Placement& placed);
+void RecordStart(State& state, BackendId backend);
+void RecordStart(State& state, const Placement& placement);
 // Counts the requests that another daemon has started since its previous
 // snapshot, and applies the rate limits that it publishes.
-void RecordPeerStarts(State& state, const LoadSnapshot& told,
+void RecordPeerStarts(State& state, const LoadSnapshot& snapshot,
                       const std::vector<ActiveRequest>& known);
-// Applies a rate limit that a server advertised to this daemon (`own`) or to
-// another one that publishes it.
-void ApplyRateLimit(State& state, const ServerLimit& named, bool own);
-// Returns the rate limits for a snapshot: all of them, or with `news` only the
-// unpublished changes.
-std::vector<ServerLimit> RateLimitsToPublish(State& state, bool news);
+// Applies a rate limit that a server advertised to this daemon
+// (`received_directly`) or to another one that publishes it.
+void ApplyRateLimit(State& state, const ServerLimit& limit,
+                    bool received_directly);
+// Returns the rate limits for a snapshot: all of them, or with
+// `only_unpublished` only the unpublished changes.
+std::vector<ServerLimit> RateLimitsToPublish(State& state,
+                                             bool only_unpublished);
 void DropExpiredRateLimits(State& state);
 // Returns the servers of a placement whose rate limit, or the withdrawal of it,
 // is known here.
 std::vector<BackendId> KnownRateLimitsAt(const State& state,
-                                         const Placement& placed);
+                                         const Placement& placement);
 // Returns the servers of a placement with rate limits that the placer didn't
 // count.
 std::vector<BackendId> UncountedRateLimitsAt(const State& state,
-                                             const PlacementResponse& answer);
+                                             const PlacementResponse& response);
 // Publishes the rate limits of these servers to the placers again.
-void RepublishRateLimits(State& state, const std::vector<BackendId>& lives);
+void RepublishRateLimits(State& state, const std::vector<BackendId>& backends);
 
 // server_words.cc: server signals in the heads of backend servers' responses.
 
 void OnResponseHead(State& state, const ResponseHeadReceived& event);
 // Records that a backend incarnation is leaving, as it said to this daemon
-// (`own`) or to another one that publishes it.
-void ApplyLeaving(State& state, BackendId life, const std::string& request,
-                  bool own);
+// (`received_directly`) or to another one that publishes it.
+void ApplyLeaving(State& state, BackendId backend, const std::string& request,
+                  bool received_directly);
 // Returns the leaving servers for a snapshot: those of the last seconds, or
-// with `news` only the unpublished ones.
-std::vector<BackendId> LeavingToPublish(State& state, bool news);
+// with `only_unpublished` only the unpublished ones.
+std::vector<BackendId> LeavingToPublish(State& state, bool only_unpublished);
 void DropExpiredLeaving(State& state);
 // Whether this daemon backs off from that backend incarnation now.
-bool IsBackingOff(const State& state, BackendId life);
+bool IsBackingOff(const State& state, BackendId backend);
 std::set<BackendId> ServersBackingOff(const State& state);
 // Refuses a request if this daemon backs off from all servers in `open`; the
 // client may retry when the first backoff ends. Returns whether it refused.
@@ -404,19 +409,19 @@
 void RecordStoreResponse(State& state);
 // Records a response of the store to another daemon's query of `age` ago.
 void RecordPeerStoreResponse(State& state, Duration age);
-// Records that the known configuration was the newest at `asked`, the time of
-// the query.
-void ConfirmConfiguration(State& state, Time asked);
-// Records that the known backend servers were the newest at `asked`.
-void ConfirmBackends(State& state, Time asked);
+// Records that the known configuration was the newest at `queried_at`, the time
+// of the query.
+void ConfirmConfiguration(State& state, Time queried_at);
+// Records that the known backend servers were the newest at `queried_at`.
+void ConfirmBackends(State& state, Time queried_at);
 // Records that a configuration which isn't known here yet was the newest at
-// `asked`.
+// `queried_at`.
 void AwaitConfiguration(State& state, const ConfigurationStamp& stamp,
-                        Time asked);
+                        Time queried_at);
 // Applies the confirmations that awaited the configuration which is now known.
 void ConfirmAwaited(State& state);
-// Returns how long this daemon waits for an entry to come back whose lease may
-// only have expired.
+// Returns until when this daemon waits for an entry to come back whose lease
+// may only have expired.
 Time LapseEnd(const State& state);
 // Logs when this daemon starts or stops lagging behind the store.
 void LogLagChange(State& state);
@@ -426,11 +431,11 @@
 // Returns the stamp of the known configuration; all zero if none is known.
 ConfigurationStamp StampOf(const State& state);
 // Applies that the store is in epoch `number`, as the store's own response
-// (`told_by` is empty) or the daemon `told_by` says.
+// (`source` is empty) or the daemon `source` says.
 void ObserveEpoch(State& state, std::uint64_t number,
-                  const std::string& told_by);
+                  const std::string& source);
 // Applies the last reconciled epoch that the store has recorded.
-void OnReconciledEpoch(State& state, std::uint64_t era);
+void OnReconciledEpoch(State& state, std::uint64_t epoch);
 // Updates the recorded reconciled epoch in the store if it is older than the
 // current one and writing it is this daemon's duty and due.
 void WriteReconciledEpochIfDue(State& state);
@@ -444,14 +449,14 @@
 void RecordFirstRevisionNumber(State& state, const StoreRevision& at);
 // Records the stamp of the configuration that the store holds.
 void RecordStoredConfiguration(State& state, const ConfigurationStamp& stored);
-// Records that this daemon knows all that the store held at `asked` in epoch
-// `number`. A zero `asked` means that there was no query.
-void ConfirmByStore(State& state, std::uint64_t number, Time asked);
+// Records that this daemon knows all that the store held at `queried_at` in
+// epoch `number`. A zero `queried_at` means that there was no query.
+void ConfirmByStore(State& state, std::uint64_t number, Time queried_at);
 // Applies the first freshness confirmation after this daemon's start, which
 // waits for other daemons' snapshots.
 void ApplyFirstConfirmation(State& state);
 // Applies what another daemon's snapshot says about restores.
-void ApplyPeerRestore(State& state, const LoadSnapshot& told);
+void ApplyPeerRestore(State& state, const LoadSnapshot& snapshot);
 // Applies the confirmation of the configuration that a store poller's relay
 // carries. The relay left that daemon after `sent`.
 void ApplyRelayedConfirmation(State& state, const StoreRelay& relay, Time sent);
@@ -469,10 +474,10 @@
 // store_following.cc: polls the store, or follows it by the store pollers'
 // relays.
 
-// Schedules a read of the configuration `stamp`, which the daemon `told_by` has
+// Schedules a read of the configuration `stamp`, which the daemon `source` has
 // published, if the known configuration is older.
 void ScheduleConfigurationRead(State& state, const ConfigurationStamp& stamp,
-                               const std::string& told_by);
+                               const std::string& source);
 // Updates which store duties this daemon has among the live daemons.
 void UpdateStoreRoles(State& state);
 // Polls, watches, reads and relays whatever is due.
@@ -502,9 +507,9 @@
 
 // reducer.cc: helpers of the other steps.
 
-// Appends a log effect for the event `what`. A `routine` line may be left out
+// Appends a log effect for `event`. A `routine` line may be left out
 // under a high log rate.
-void Log(State& state, std::string what,
+void Log(State& state, std::string event,
          std::vector<std::pair<std::string, std::string>> fields,
          bool routine = false);
 // Returns the duration in milliseconds, for a log field.
--- a/serving/src/server_words.cc
+++ b/serving/src/server_words.cc
@@ -41,7 +41,7 @@
                  {.backend = request.backend,
                   .per_second = advertised,
                   .received_at = state.now},
-                 /*own=*/true);
+                 /*received_directly=*/true);
   if (previous == advertised) return;
   const std::string change = !previous     ? "named"
                              : !advertised ? "ended"
@@ -84,7 +84,8 @@
     ApplyAdvertisedRateLimit(state, request, signals.rate_limit);
   }
   if (signals.leaving) {
-    ApplyLeaving(state, request.backend, request.metadata.id, /*own=*/true);
+    ApplyLeaving(state, request.backend, request.metadata.id,
+                 /*received_directly=*/true);
   }
   if (signals.backoff > Duration::zero())
     RecordBackoff(state, request, signals.backoff);
--- a/serving/src/snapshots.cc
+++ b/serving/src/snapshots.cc
@@ -49,8 +49,9 @@
   snapshot.crashes =
       state.quarantine.RecentCrashes(state.now, /*latest=*/incremental);
   snapshot.crash_checks = FingerprintsUnderCheck(state);
-  snapshot.limits = RateLimitsToPublish(state, /*news=*/incremental);
-  snapshot.leaving = LeavingToPublish(state, /*news=*/incremental);
+  snapshot.limits =
+      RateLimitsToPublish(state, /*only_unpublished=*/incremental);
+  snapshot.leaving = LeavingToPublish(state, /*only_unpublished=*/incremental);
   // With placers, the queue is known only to the placer.
   if (state.dispatch.place_locally) snapshot.waiting = WaitingOf(state);
   for (const auto& [name, backend] : state.backends) {
@@ -188,10 +189,10 @@
   if (begins_placing || just_started)
     state.full_snapshot_due[snapshot.peer_address] = state.now;
   for (const ServerLimit& it : snapshot.limits) {
-    ApplyRateLimit(state, it, /*own=*/false);
+    ApplyRateLimit(state, it, /*received_directly=*/false);
   }
   for (const BackendId it : snapshot.leaving) {
-    ApplyLeaving(state, it, /*request=*/"", /*own=*/false);
+    ApplyLeaving(state, it, /*request=*/"", /*received_directly=*/false);
   }
   const std::vector<ActiveRequest> none;
   RecordPeerStarts(state, snapshot,
