--- a/serving/include/scaleshed/serving/configuration.h
+++ b/serving/include/scaleshed/serving/configuration.h
@@ -94,7 +94,7 @@
 struct ClientAccount {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<int> priority;  // nothing: that of the route
+  std::optional<int> priority;  // unset: not given
 };
 
 // Limits of size and time for the requests that a daemon reads from clients.
--- a/serving/include/scaleshed/serving/effects.h
+++ b/serving/include/scaleshed/serving/effects.h
@@ -29,7 +29,7 @@
   AttemptId attempt = 0;
   RequestKey key = 0;
   std::string address;
-  std::string instance;  // identifies the backend incarnation to send to
+  std::string instance;  // instance id of the backend server
   std::string account;   // empty on public routes
   Duration time_left{};
   bool stream = false;
