--- a/serving/include/scaleshed/serving/configuration.h
+++ b/serving/include/scaleshed/serving/configuration.h
@@ -53,7 +53,8 @@
   double attention_ms_per_million_pairs = 0;
   std::int64_t tokens_per_event = 1;
   std::int64_t prefill_chunk_tokens = 0;  // prefilled at most in one step
-  // For each step of a prompt that several engines prefill.
+  // The time that the configuration states for each step of a prompt that
+  // several engines prefill. Placement doesn't use it.
   double hop_ms = 0;
 };
 
@@ -86,7 +87,9 @@
   Duration max_event_gap{};  // between a stream's events; zero: unspecified
   int priority = 0;          // 0 goes first
   std::vector<ServiceShare> shares;
-  int max_sends = 1;  // backend servers that one request may be sent to
+  // Sends of one request that may have run; sends that a server declined don't
+  // count.
+  int max_sends = 1;
   bool is_public = false;
 };
 
--- a/serving/include/scaleshed/serving/placement.h
+++ b/serving/include/scaleshed/serving/placement.h
@@ -21,7 +21,7 @@
 
 // A prompt that one engine prefills within this limit counts as short: a single
 // engine prefills all of it, beside other short prompts. The limit is half of
-// the shortest objective that the sites configure.
+// the shortest objective in the operators' configurations.
 inline constexpr Duration kShortPromptPrefillLimit = milliseconds(150);
 
 // The number of a pool's engines that are left for long prompts while
@@ -81,11 +81,12 @@
   kEngines,         // too few engines have a short enough backlog
   kMemory,          // no engine has enough free memory
   kCombinedMemory,  // several engines together lack the free memory
-  kBackends,        // no backend server takes work
-  kFreshness,       // the list of backend servers is too old to be used
-  kCrashCheck,      // a crash check of its fingerprint is under way
-  kRateLimit,       // the rate limits of all eligible servers are used up
-  kBackoff,         // the sender backs off from all eligible servers
+  // No backend server takes work, or no engine has room for a short prompt.
+  kBackends,
+  kFreshness,   // the list of backend servers is too old to be used
+  kCrashCheck,  // a crash check of its fingerprint is under way
+  kRateLimit,   // the rate limits of all eligible servers are used up
+  kBackoff,     // the sender backs off from all eligible servers
 };
 inline constexpr NameTable<Shortage, 9> kShortageNames{{
     {Shortage::kQueueOrder, "turn"},
--- a/serving/include/scaleshed/serving/quarantine.h
+++ b/serving/include/scaleshed/serving/quarantine.h
@@ -28,8 +28,9 @@
 };
 
 // Counts, for each request fingerprint, the backend incarnations that crashed
-// while they ran such a request, as far as one daemon knows, so that a poison
-// request is refused once it has crashed kQuarantineCrashCount servers.
+// while they ran such a request, as far as one daemon knows, so that a request
+// that crashes servers is refused once it has crashed kQuarantineCrashCount
+// servers.
 //
 // Crashes that are published by other daemons may arrive in any order, late and
 // more than once: an incarnation counts once, and a cleared one stays cleared.
@@ -45,13 +46,13 @@
   static constexpr std::size_t kMaxFingerprints = 4096;
 
   // Adds one crash, or clears one. Returns false if it was known already.
-  bool AddCrash(const Crash& ending, Time now);
+  bool AddCrash(const Crash& crash, Time now);
   // Clears all crashes that are known of the fingerprint.
-  void ClearFingerprint(std::uint64_t content, Time now);
+  void ClearFingerprint(std::uint64_t fingerprint, Time now);
 
-  std::size_t CrashCount(std::uint64_t content) const;
-  bool IsQuarantined(std::uint64_t content) const {
-    return CrashCount(content) >= kQuarantineCrashCount;
+  std::size_t CrashCount(std::uint64_t fingerprint) const;
+  bool IsQuarantined(std::uint64_t fingerprint) const {
+    return CrashCount(fingerprint) >= kQuarantineCrashCount;
   }
   bool empty() const { return records_.empty(); }
   // Number of fingerprints with at least one crash that isn't cleared.
@@ -69,9 +70,9 @@
   // cleared here, unless the store was restored from a backup since: then it
   // may only have lost them.
   bool ApplyStored(const StoredCrashes& stored, Time now);
-  // Carries what the store is known to hold over to the store epoch `era`, in
+  // Carries what the store is known to hold over to the store epoch `epoch`, in
   // which it holds the same.
-  void AdoptEpoch(std::uint64_t era);
+  void AdoptEpoch(std::uint64_t epoch);
   // Fingerprints for which the store holds any crash.
   std::vector<std::uint64_t> StoredFingerprints() const;
   // Hash over all crashes that the store is known to hold.
@@ -105,9 +106,9 @@
   static std::vector<BackendId> CountedIncarnations(const Record& record);
   // Whether the store has to be changed for the fingerprint at all: it holds an
   // entry, or at least `least` crashes count.
-  bool IsWorthSaving(std::uint64_t content, std::size_t least) const;
+  bool IsWorthSaving(std::uint64_t fingerprint, std::size_t least) const;
   // Compares the fingerprint's record with what the store holds of it.
-  void UpdateUnsaved(std::uint64_t content, Time now);
+  void UpdateUnsaved(std::uint64_t fingerprint, Time now);
   // Clears one fingerprint if there are more than kMaxFingerprints.
   void MakeRoom(Time now);
   // Erases cleared records once no other daemon can still be publishing their
--- a/serving/include/scaleshed/serving/reducer.h
+++ b/serving/include/scaleshed/serving/reducer.h
@@ -11,19 +11,21 @@
 namespace scaleshed::serving {
 
 // Makes all of a daemon's decisions: applies one event to `state` and returns
-// the effects to carry out. It reads no clock and does no input or output; the
-// same events on the same state give the same effects.
+// the effects to carry out. The driver is the code that feeds events to
+// Reduce() and carries out the effects. Reduce() reads no clock and does no
+// input or output; the same events on the same state give the same effects.
 Effects Reduce(State& state, const Event& event);
 
 // Returns the latest time at which Reduce() must get the next Tick.
 Time NextWake(const State& state);
 
 // Whether clients may be sent to this daemon: it has a configuration that is
-// fresh enough for requests with API keys, and it is not stopping.
+// fresh enough for requests with API keys, it is not stopping, and both its
+// configuration and its list of backend servers are usable.
 bool IsServing(const State& state);
 
-// Whether the newest known configuration belongs to a store epoch whose changes
-// the store lost in a restore, and the operators have not rewritten it yet.
+// Whether the newest known configuration is from an earlier store epoch: the
+// operators haven't rewritten it since the restore.
 bool AwaitsConfigurationRewrite(const State& state);
 
 // The daemons' addresses that a client may use, and how long it may cache them.
--- a/serving/include/scaleshed/serving/slack_share.h
+++ b/serving/include/scaleshed/serving/slack_share.h
@@ -33,9 +33,9 @@
 //   - only while the store holds this daemon's entry, so that all others count
 //     every daemon that uses a share;
 //   - only after the entry has stood for a window plus the greatest allowed age
-//     of the store's number of daemons (kMaxDaemonCountAge): by then, retries
-//     of an earlier incarnation are out of the window, and all others have
-//     counted this daemon for a whole window;
+//     of the store's number of daemons: by then, retries of an earlier
+//     incarnation are out of the window, and all others have counted this
+//     daemon for a whole window;
 //   - only while the store's number of entries is so fresh that no daemon which
 //     it lacks can use a share yet;
 //   - as one part of the largest number of daemons known within the last window
@@ -48,19 +48,20 @@
   // `window`: the sliding window of the retry budget.
   explicit SlackShare(Duration window) : window_(window) {}
 
-  // The store holds this daemon's entry until `until`. `anew`: the entry was
-  // newly written, by `now`; else an entry that stood already was confirmed.
-  void OnEntryConfirmed(Time now, Time until, bool anew);
+  // The store holds this daemon's entry until `until`. `newly_written`: the
+  // entry was newly written, by `now`; else an entry that stood already was
+  // confirmed.
+  void OnEntryConfirmed(Time now, Time until, bool newly_written);
   // The daemon asked the store to remove its entry, or knows that it is gone.
   void OnEntryRemoved() { entry_until_ = Time{}; }
   // The store may have lost the entry. Other daemons still go by the earlier
   // number of daemons for a while, so the share ends only when that number may
   // be too old for them.
   void OnEntryLost(Time now);
-  // The store's number of daemons arrived. `asked`: when the query was sent
-  // whose answer it is.
-  void OnDaemonsCounted(Time asked) {
-    counted_at_ = std::max(counted_at_, asked);
+  // The store's number of daemons arrived. `queried_at`: when the query was
+  // sent whose answer it is.
+  void OnDaemonsCounted(Time queried_at) {
+    counted_at_ = std::max(counted_at_, queried_at);
   }
   // Records the largest number of daemons that any source gives at `now`.
   void RecordDaemonCount(Time now, std::size_t daemons);
--- a/serving/include/scaleshed/serving/state.h
+++ b/serving/include/scaleshed/serving/state.h
@@ -63,19 +63,22 @@
   // unless its entry comes back.
   std::optional<Time> gone_at;
   // The server gets no new requests until these times: the first because of
-  // failed attempts, the second because of a slow engine's reports or a backoff
-  // that the server asked for.
+  // this daemon's own failed attempts, the second because of a slow engine's
+  // reports or a backoff that the server asked for.
   Time suspect_until{};
   Time slow_until{};
   int consecutive_failures = 0;  // failed attempts since the last success
-  Time report_due{};  // when an engine's next report is due at any daemon
+  // When the engine's report is next to be fetched, by whichever daemon does
+  // that.
+  Time report_due{};
   bool slow = false;  // whether the last report here showed a slow engine
   // Exponentially decaying counts of responses and of failed responses.
   double recent_responses = 0;
   double recent_failed_responses = 0;
-  // For engines, with the suspicions of all daemons: the time until which the
-  // engine gets no new requests, and the number of suspicions in a row. Both
-  // are zero if no daemon suspected the engine, or if it has decoded since.
+  // For engines, by the suspicions of all daemons: the time until which the
+  // engine gets no new requests, and the number of further suspicions in a row
+  // after the first. Both are zero if no daemon suspected the engine, or if it
+  // has decoded since.
   Time suspected_until{};
   int consecutive_suspicions = 0;
 
@@ -119,7 +122,9 @@
 
 // What this daemon knows of the current store epoch, which counts how often the
 // store was restored from a backup. The first epoch that a daemon observes
-// after its start doesn't count as a restore.
+// after its start doesn't count as a restore. An epoch is reconciled once the
+// store holds again what the restore lost, or the time for rewriting it has
+// passed.
 struct StoreEpoch {
   std::uint64_t number = 0;
   bool known = false;
@@ -159,7 +164,9 @@
   // it; unset while none is unanswered.
   std::optional<Time> unanswered_query_since;
   Time recovered_at{};  // first response to this daemon after unresponsiveness
-  bool logged_as_lagging = false;  // whether the last logged state was lagging
+  // Whether the last logged state was lagging: the configuration or the list of
+  // backend servers is too old to be used.
+  bool logged_as_lagging = false;
   // Configurations that this daemon doesn't have yet, and when each was
   // confirmed to be the newest.
   std::deque<std::pair<ConfigurationStamp, Time>> awaited_configurations;
@@ -169,8 +176,10 @@
   // which they have been since `role_since`.
   bool has_role = false;
   Time role_since{};
-  bool watching = false;  // is a store poller: polls and watches the store
-  bool is_lead_poller = false;    // is the first of the store pollers
+  bool watching = false;  // this daemon is a store poller
+  // This daemon is the poller of this data centre that polls first, is the
+  // first to write crashes to the store, and writes the reconciled epoch to it.
+  bool is_lead_poller = false;
   std::set<std::string> pollers;  // of this data centre, by peer address
   Time poll_due{};                // earliest time of this daemon's next poll
   Time unreachable_at{};          // when this daemon's last query failed
@@ -184,7 +193,8 @@
   Time read_at{};  // last read of the configuration
   // Set when the entries here differ from a store poller's: when to list all.
   std::optional<Time> list_due;
-  Time listed_at{};                     // last list of all entries
+  // Start of the current list interval: the last list plus a random delay.
+  Time listed_at{};
   std::deque<ObservedChange> changes;   // observed in the last seconds
   std::deque<ObservedCrashes> crashes;  // observed in the last seconds
   // Saving of the quarantine's crashes: earliest time of the next write, and
@@ -211,7 +221,9 @@
 // A liveness check of a backend incarnation at which a response was
 // interrupted. It probes the server's address until the server proves alive,
 // its process proves ended, or too much time has passed. If the process has
-// ended, a crash is recorded for every request that was interrupted there.
+// ended, a crash is recorded for every request that was interrupted there. For
+// a limited time it is also a crash check: other requests with its fingerprints
+// wait for its result.
 struct LivenessCheck {
   std::string address;
   Time since{};
@@ -349,10 +361,13 @@
   Time last_event_at{};
   // Last liveness signal of the request's backend server; at first the send.
   Time backend_alive_at{};
-  Time probe_due{};         // earliest next liveness probe of that server
-  int possible_runs = 0;    // sends that may have run, with the current one
-  int delivered_sends = 0;  // sends that reached a backend server
-  int declined_sends = 0;   // sends that the server says it didn't run
+  Time probe_due{};       // earliest next liveness probe of that server
+  int possible_runs = 0;  // sends that may have run, with the current one
+  // Counts the first event of each stream and each end of an attempt that may
+  // have reached a backend server; zero if no send has reached one.
+  int delivered_sends = 0;
+  // Sends that didn't run: the server declined them or no byte was sent.
+  int declined_sends = 0;
   bool may_have_run = false;
   bool retry_reserved = false;   // the next send is a reserved retry
   std::set<BackendId> excluded;  // not used again for this request
@@ -410,8 +425,9 @@
   std::map<BackendId, KnownLeaving> leaving;
   // Backend servers that this daemon backs off from, and until when.
   std::map<BackendId, Time> backoffs;
-  std::map<std::string, Member> members;            // by peer address
-  std::map<std::string, std::string> listed_peers;  // to their data centres
+  std::map<std::string, Member> members;  // by peer address
+  // Data centre by peer address.
+  std::map<std::string, std::string> listed_peers;
   bool peers_listed = false;
   PlacementDuties dispatch;
   DaemonCount logged_daemon_count;
--- a/serving/include/scaleshed/serving/work.h
+++ b/serving/include/scaleshed/serving/work.h
@@ -12,7 +12,8 @@
 namespace scaleshed::serving {
 
 // Names a backend incarnation, one run of a backend server's process, between
-// daemons: a hash of the instance id under which it is listed.
+// daemons: a hash of the server's instance id and the start time of its
+// process.
 using BackendId = std::uint64_t;
 
 // A request that a daemon has at a backend server. Daemons publish their active
@@ -47,11 +48,11 @@
 };
 
 // A backend server that a daemon keeps out of new work until a time, because it
-// failed or was slow.
+// failed, was slow or asked for a backoff.
 struct Suspicion {
   BackendId backend = 0;
   Time until{};
-  bool failed = false;  // false: it was only slow
+  bool failed = false;  // false: it was slow or asked for a backoff
   bool operator==(const Suspicion&) const = default;
 };
 
@@ -81,7 +82,7 @@
 
 // What a daemon publishes about itself: a full snapshot at intervals, and an
 // incremental one at each change. The effect of a lost snapshot lasts only
-// until the next full one.
+// until the next full one. A heartbeat is a snapshot without active requests.
 struct LoadSnapshot {
   std::string instance;      // address for clients
   std::string peer_address;  // address for messages between daemons
@@ -90,8 +91,8 @@
   std::uint64_t sequence = 0;     // rises within the incarnation
   bool serving = false;           // clients may be directed to the daemon
   bool polls_store = false;       // may poll the store for its data centre
-  // The daemon is a hub: one of the few of its data centre that all daemons
-  // send heartbeats to, and from which the placers are chosen.
+  // The daemon is a hub: one of the few daemons of its data centre that send
+  // heartbeats to all daemons, and from which the placers are chosen.
   bool is_hub = false;
   // The daemon places prompts of others: daemons that receive this publish
   // their active requests to it.
@@ -104,8 +105,8 @@
   Duration reconciling_for{};
   // In an incremental snapshot, `active_requests` are those that began or
   // changed since the last snapshot, and `finished_ids` those that finished.
-  // All other fields are complete in each snapshot, except `limits` and
-  // `leaving`.
+  // All other fields are complete in each snapshot, except `crashes`,
+  // `limits` and `leaving`.
   bool incremental = false;
   std::vector<ActiveRequest> active_requests;
   std::vector<std::uint64_t> finished_ids;
--- a/serving/src/internal/pool.h
+++ b/serving/src/internal/pool.h
@@ -10,8 +10,7 @@
 // Limits that the placement of short and of long prompts share.
 namespace scaleshed::serving::internal {
 
-// Engines that stay available to long prompts however many short ones there
-// are.
+// Engines that short prompts use last, in pools of more than twice as many.
 inline constexpr std::size_t kMinLongPromptEngines = 4;
 
 // The engine protocol's limit on the prefill helpers of one request.
--- a/serving/src/internal/steps.h
+++ b/serving/src/internal/steps.h
@@ -213,10 +213,13 @@
 void OnListed(State& state, const BackendServer& server);
 void OnUnlisted(State& state, const BackendUnlisted& event);
 void OnAllListed(State& state, const BackendsListed& event);
+// Drops servers whose entry expired, and ends the time for which restored
+// entries are kept out.
 void DropLapsedBackends(State& state);
 void RecordSuccess(State& state, BackendId id);
 void RecordFailure(State& state, BackendId id, const std::string& reason);
 void RecordFailedResponse(State& state, BackendId id);
+// Treats the server as leaving, as something else showed that it ended.
 void RecordBackendGone(State& state, BackendId id, const std::string& reason);
 // Keeps new requests away from the server for `length`, unless too many servers
 // are kept out already.
@@ -275,8 +278,8 @@
 std::vector<std::uint64_t> FingerprintsUnderCheck(const State& state);
 // Isolation keeps requests with a fingerprint that has crashed servers, or is
 // suspected to, together at one server or one at a time, so that a further
-// crash hits few other requests. Without a backend and `wait`, placement is
-// free.
+// crash hits few other requests. If `backend` is null and `wait` is false,
+// placement is unrestricted.
 struct Isolation {
   const Backend* backend = nullptr;  // the server that must run the request
   bool wait = false;                 // the request must not start now
@@ -319,15 +322,15 @@
 void RecordStart(State& state, BackendId backend);
 void RecordStart(State& state, const Placement& placement);
 // Counts the requests that another daemon has started since its previous
-// snapshot, and applies the rate limits that it publishes.
+// snapshot.
 void RecordPeerStarts(State& state, const LoadSnapshot& snapshot,
                       const std::vector<ActiveRequest>& known);
 // Applies a rate limit that a server advertised to this daemon
 // (`received_directly`) or to another one that publishes it.
 void ApplyRateLimit(State& state, const ServerLimit& limit,
                     bool received_directly);
-// Returns the rate limits for a snapshot: all of them, or with
-// `only_unpublished` only the unpublished changes.
+// Returns the rate limits for a snapshot: those this daemon recently received
+// directly, or with `only_unpublished` the unpublished changes.
 std::vector<ServerLimit> RateLimitsToPublish(State& state,
                                              bool only_unpublished);
 void DropExpiredRateLimits(State& state);
@@ -388,6 +391,8 @@
 std::vector<const ActiveRequest*> AllActiveRequests(const State& state);
 void OnConfiguration(State& state, const ConfigurationReceived& event);
 void OnConfirmed(State& state, const ConfigurationConfirmed& event);
+// Whether the configuration was confirmed within
+// ServingOptions::key_freshness, less a safety margin.
 bool IsFresh(const State& state);
 
 // proofs.cc: freshness confirmations, which bound how long known state of the
@@ -395,8 +400,8 @@
 
 // Returns when all known state of the store was last known to be the newest.
 Time StoreConfirmedAt(const State& state);
-// Whether the store doesn't respond to this daemon and no daemon is known that
-// it responds to; also if only this daemon is cut off.
+// Whether this daemon's query has been unanswered for long, or for a shorter
+// time in which no other daemon is known to have got a response.
 bool IsStoreUnresponsive(const State& state);
 // Whether the known backend servers are usable: they were confirmed to be the
 // newest a short time ago, or no daemon can know anything newer.
