--- a/serving/src/admission.cc
+++ b/serving/src/admission.cc
@@ -29,7 +29,7 @@
 constexpr std::size_t kMaxEarlyRequests = 256;
 // Streams that arrive later than this after the request to stop are refused:
 // they couldn't end before the daemon exits.
-constexpr Duration kStreamsAcceptedWhileStopping = milliseconds(2500);
+constexpr Duration kStreamAdmissionTimeWhileStopping = milliseconds(2500);
 // Timeout of a request without one of its own. The route's timeout, if shorter,
 // takes precedence.
 constexpr Duration kDefaultTimeout = seconds(10);
@@ -151,7 +151,7 @@
   const ClientAccount* account = nullptr;
   if (RefuseIfNotServable(state, event, route, account)) return;
   if (state.stop_at && IsStream(route->kind) &&
-      state.now - *state.stop_at > kStreamsAcceptedWhileStopping) {
+      state.now - *state.stop_at > kStreamAdmissionTimeWhileStopping) {
     RefuseImmediately(state, event, Refusal::kStopping,
                       kRetryAfterOtherDaemonServes);
     return;
--- a/serving/src/attempts.cc
+++ b/serving/src/attempts.cc
@@ -8,10 +8,10 @@
 namespace {
 
 // A stream counts as stalled, and is resumed at another backend server, if no
-// event arrives for kMaxEventGapFactor times the route's greatest allowed event
-// gap, or kMinStallTimeout if that is longer: the requests of a dead backend
-// server stand still for that long in the worst case.
-constexpr int kMaxEventGapFactor = 5;
+// event arrives for kStallTimeoutInEventGaps times the route's greatest allowed
+// event gap, or kMinStallTimeout if that is longer: the requests of a dead
+// backend server stand still for that long in the worst case.
+constexpr int kStallTimeoutInEventGaps = 5;
 constexpr Duration kMinStallTimeout = milliseconds(1000);
 // How long after the deadline a running request still waits for the backend
 // server's own response to the timeout.
@@ -65,8 +65,8 @@
   TryStart(state, request);
 }
 
-// Handles an attempt that may have run but brought no complete response: reruns
-// the request if it may, else fails it.
+// Handles an interrupted attempt, one that may have run but brought no complete
+// response: reruns the request if it may, else fails it.
 void HandleLostAttempt(State& state, Request& request,
                        const std::string& reason) {
   request.may_have_run = true;
@@ -186,8 +186,9 @@
   state.effects.emplace_back(
       ForwardEvent{.key = request->key, .bytes = event.bytes});
   request->progress_deadline =
-      state.now + std::max(kMaxEventGapFactor * request->route.max_event_gap,
-                           kMinStallTimeout);
+      state.now +
+      std::max(kStallTimeoutInEventGaps * request->route.max_event_gap,
+               kMinStallTimeout);
 }
 
 void OnAnswered(State& state, const AttemptAnswered& event) {
--- a/serving/src/audience.cc
+++ b/serving/src/audience.cc
@@ -13,7 +13,7 @@
 //     clients' address queries and to agree on the store pollers, and
 //   - its active requests to the two placers of the fleet.
 // The two hubs of each data centre, from which the placers are chosen, send
-// heartbeats to all daemons.
+// heartbeats to all daemons. A heartbeat is a snapshot without active requests.
 namespace scaleshed::serving::internal {
 namespace {
 
--- a/serving/src/backends.cc
+++ b/serving/src/backends.cc
@@ -7,7 +7,7 @@
 
 // Time for which requests avoid a backend server after its first failure; each
 // further failure in a row doubles it.
-constexpr Duration kFirstSuspicion = milliseconds(500);
+constexpr Duration kFirstSuspicionDuration = milliseconds(500);
 constexpr int kMaxSuspicionDoublings = 3;
 // Exponential decay of the response counts: each new response reduces the
 // weight of all earlier ones by this share.
@@ -17,7 +17,7 @@
 // responses than kMinResponsesToJudge are too few to compare.
 constexpr double kExcessFailureShare = 0.25;
 constexpr double kMinResponsesToJudge = 4;
-constexpr Duration kFailureShareSuspicion = seconds(2);
+constexpr Duration kFailureShareSuspicionDuration = seconds(2);
 // At most this share of a service's backend servers is avoided at a time.
 constexpr double kMaxAvoidedShare = 0.34;
 // Each further suspicion of an engine that has not decoded since the previous
@@ -29,10 +29,11 @@
 constexpr int kMaxEngineSuspicionDoublings = 4;
 constexpr Duration kConsecutiveSuspicionWindow = seconds(10);
 // A suspected engine returns on probation: it gets one short prompt at a time
-// until it decodes one of them. It prefills no part of a long prompt, which
-// fails with any of its engines. Probation is limited in time because there may
-// be no short prompt that could end it.
-constexpr Duration kProbation = seconds(2);
+// until it decodes one of them. After two or more suspicions in a row it
+// prefills no part of a long prompt, which fails with any of its engines.
+// Probation is limited in time because there may be no short prompt that could
+// end it.
+constexpr Duration kProbationDuration = seconds(2);
 
 // Counts the backend servers of `service` that are avoided now, and all of them
 // in `all`.
@@ -51,7 +52,7 @@
 // Keeps requests away from `backend` for `length`, unless that would exceed
 // kMaxAvoidedShare of its service.
 void AvoidBackend(State& state, Backend& backend, Time Backend::*until,
-                  Duration length, const std::string& why) {
+                  Duration length, const std::string& reason) {
   std::size_t all = 0;
   const std::size_t n = CountAvoided(state, backend.server.service, all);
   const bool already_avoided = backend.avoided_until() > state.now;
@@ -63,12 +64,12 @@
   Log(state, "suspect",
       {{"backend", backend.server.id},
        {"address", backend.server.address},
-       {"why", why},
+       {"why", reason},
        {"for_ms", Millis(length)}});
 }
 
 void LogBackend(State& state, const BackendServer& server,
-                const std::string& new_state, const std::string& why = "") {
+                const std::string& new_state, const std::string& reason = "") {
   Log(state, "backend",
       {{"backend", server.id},
        {"service", server.service},
@@ -77,7 +78,7 @@
        {"era", std::to_string(server.revision.epoch)},
        {"revision", std::to_string(server.revision.number)},
        {"state", new_state},
-       {"why", why}},
+       {"why", reason}},
       // The first list after a start may have thousands of entries.
       /*routine=*/new_state == "listed");
 }
@@ -178,8 +179,8 @@
 }  // namespace
 
 void SuspectBackend(State& state, Backend& backend, Duration length,
-                    const std::string& why) {
-  AvoidBackend(state, backend, &Backend::suspect_until, length, why);
+                    const std::string& reason) {
+  AvoidBackend(state, backend, &Backend::suspect_until, length, reason);
   ApplySuspicion(
       state,
       {.backend = backend.id, .until = backend.suspect_until, .failed = true});
@@ -303,12 +304,13 @@
   backend->recent_failed_responses *= 1 - kOutcomeDecay;
 }
 
-void RecordFailure(State& state, BackendId id, const std::string& why) {
+void RecordFailure(State& state, BackendId id, const std::string& reason) {
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr) return;
   const int doublings =
       std::min(backend->consecutive_failures++, kMaxSuspicionDoublings);
-  SuspectBackend(state, *backend, kFirstSuspicion * (1 << doublings), why);
+  SuspectBackend(state, *backend, kFirstSuspicionDuration * (1 << doublings),
+                 reason);
 }
 
 void RecordFailedResponse(State& state, BackendId id) {
@@ -331,15 +333,16 @@
       backend->recent_failed_responses / backend->recent_responses;
   if (backend->recent_responses >= kMinResponsesToJudge &&
       own_failure_share > others_failure_share + kExcessFailureShare) {
-    SuspectBackend(state, *backend, kFailureShareSuspicion, "bad_answers");
+    SuspectBackend(state, *backend, kFailureShareSuspicionDuration,
+                   "bad_answers");
   }
 }
 
-void RecordBackendGone(State& state, BackendId id, const std::string& why) {
+void RecordBackendGone(State& state, BackendId id, const std::string& reason) {
   Backend* backend = FindBackend(state, id);
   if (backend == nullptr || backend->server.leaving) return;
   backend->server.leaving = true;
-  LogBackend(state, backend->server, "leaving", why);
+  LogBackend(state, backend->server, "leaving", reason);
 }
 
 void ApplySuspicion(State& state, const Suspicion& suspicion) {
@@ -372,16 +375,16 @@
 bool IsOnProbation(const State& state, const Backend& backend) {
   return backend.suspected_until != Time{} &&
          backend.suspected_until <= state.now &&
-         state.now < backend.suspected_until + kProbation;
+         state.now < backend.suspected_until + kProbationDuration;
 }
 
 void EndProbations(State& state,
-                   const std::vector<const ActiveRequest*>& works) {
+                   const std::vector<const ActiveRequest*>& requests) {
   for (auto& entry : state.backends) {
     Backend& backend = entry.second;
     if (!IsOnProbation(state, backend)) continue;
-    const bool decodes_again =
-        std::any_of(works.begin(), works.end(), [&](const ActiveRequest* it) {
+    const bool decodes_again = std::any_of(
+        requests.begin(), requests.end(), [&](const ActiveRequest* it) {
           return it->backend == backend.id && it->decoding &&
                  it->started_at >= backend.suspected_until;
         });
--- a/serving/src/deciding.cc
+++ b/serving/src/deciding.cc
@@ -92,8 +92,8 @@
       [&](const ActiveRequest* it) { return it->backend == id; }));
 }
 
-// Chooses the least busy backend server of a plain service; among equals, one
-// in the data centre of the sending daemon.
+// Chooses the least busy backend server of a plain service (one without model
+// engines); among equals, one in the data centre of the sending daemon.
 PlacementDecision PlacePlainRequest(State& state, const PlacementDemand& demand,
                                     const std::vector<const Backend*>& open) {
   const auto active_requests = AllActiveRequests(state);
@@ -176,8 +176,8 @@
           .backing_off = ServersBackingOff(state)};
 }
 
-Refusal RefusalFor(Shortage of) {
-  switch (of) {
+Refusal RefusalFor(Shortage shortage) {
+  switch (shortage) {
     case Shortage::kRateLimit:
       return Refusal::kRateLimited;
     case Shortage::kBackoff:
--- a/serving/src/dispatch.cc
+++ b/serving/src/dispatch.cc
@@ -23,7 +23,7 @@
 constexpr Duration kPlacerSuspicionDuration = milliseconds(500);
 // A fallback placer places for this time, until the other hubs know from
 // missing snapshots that the placers are gone.
-constexpr Duration kFallbackDuration = milliseconds(2500);
+constexpr Duration kFallbackPlacerDuration = milliseconds(2500);
 // The interval at which a daemon repeats the request for a queued prompt. The
 // placer drops a request that isn't repeated within kPlacementRequestExpiry.
 constexpr Duration kPlacementRepeatInterval = milliseconds(150);
@@ -35,7 +35,7 @@
 // The interval at which a placer retries the first prompts of the queue. For
 // the prompts behind them, kQueueEstimateInterval is the interval at which
 // their queue estimate is updated.
-constexpr Duration kPlacementRetryInterval = milliseconds(10);
+constexpr Duration kRemotePlacementRetryInterval = milliseconds(10);
 constexpr Duration kQueueEstimateInterval = milliseconds(100);
 
 using RemotePlacementKey = std::pair<std::string, std::uint64_t>;
@@ -63,7 +63,7 @@
   if (ReceivesAllActiveRequests(state) || !dispatch.is_hub) return;
   Log(state, "stands_in",
       {{"placers", std::to_string(dispatch.placers.size())}});
-  dispatch.fallback_until = state.now + kFallbackDuration;
+  dispatch.fallback_until = state.now + kFallbackPlacerDuration;
   // The full snapshot also informs daemons that send this one no heartbeats.
   for (auto& [peer, due] : state.full_snapshot_due) due = state.now;
   state.has_unpublished_changes = true;
@@ -199,7 +199,8 @@
        {"limits", std::to_string(backends.size())}});
   RepublishRateLimits(state, backends);
   ++request.attempt_number;
-  QueueRequest(state, request, kPlacementRetryInterval, Shortage::kRateLimit);
+  QueueRequest(state, request, kRemotePlacementRetryInterval,
+               Shortage::kRateLimit);
 }
 
 void DropExpiredPlacements(State& state) {
@@ -261,35 +262,35 @@
       RequestPlacement{.to = request.placer, .request = std::move(withdrawal)});
 }
 
-void OnPlacementResponse(State& state, const PlacementResponse& answer) {
-  state.dispatch.placers_suspected_until.erase(answer.peer_address);
-  const auto found = state.requests.find(answer.id);
-  if (answer.incarnation != state.options.incarnation ||
+void OnPlacementResponse(State& state, const PlacementResponse& response) {
+  state.dispatch.placers_suspected_until.erase(response.peer_address);
+  const auto found = state.requests.find(response.id);
+  if (response.incarnation != state.options.incarnation ||
       found == state.requests.end()) {
     return;
   }
   Request& request = found->second;
   const bool expected = request.phase == Phase::kWaiting &&
-                        request.attempt_number == answer.attempt_number &&
+                        request.attempt_number == response.attempt_number &&
                         !request.placer.empty();
   if (!expected) return;
   request.placer_responded = true;
-  switch (answer.outcome) {
+  switch (response.outcome) {
     case PlacementOutcome::kPlaced:
-      if (const auto backends = UncountedRateLimitsAt(state, answer);
+      if (const auto backends = UncountedRateLimitsAt(state, response);
           !backends.empty()) {
         RequestAgainAfterRateLimits(state, request, backends);
         return;
       }
-      StartPlacedAttempt(state, request, answer.placement);
+      StartPlacedAttempt(state, request, response.placement);
       return;
     case PlacementOutcome::kQueued:
-      QueueRequest(state, request, kPlacementRepeatInterval, answer.shortage);
+      QueueRequest(state, request, kPlacementRepeatInterval, response.shortage);
       return;
     case PlacementOutcome::kRefused:
       request.placer.clear();
-      RefuseRequest(state, request, RefusalFor(answer.shortage),
-                    answer.retry_after);
+      RefuseRequest(state, request, RefusalFor(response.shortage),
+                    response.retry_after);
       return;
     case PlacementOutcome::kTooLarge:
       request.placer.clear();
@@ -298,15 +299,15 @@
   }
 }
 
-void OnPlacementRequest(State& state, const PlacementRequest& question) {
+void OnPlacementRequest(State& state, const PlacementRequest& request) {
   auto& all = state.dispatch.remote_placements;
-  const RemotePlacementKey key{question.peer_address, question.id};
+  const RemotePlacementKey key{request.peer_address, request.id};
   const auto before = all.find(key);
   const bool same =
       before != all.end() &&
-      before->second.request.incarnation == question.incarnation &&
-      before->second.request.attempt_number == question.attempt_number;
-  if (question.withdrawn) {
+      before->second.request.incarnation == request.incarnation &&
+      before->second.request.attempt_number == request.attempt_number;
+  if (request.withdrawn) {
     if (same) all.erase(before);
     return;
   }
@@ -316,19 +317,19 @@
     return;
   }
   BecomeFallbackPlacer(state);
-  const EngineTiming* timing = TimingOf(state, question.service);
-  const bool known = timing != nullptr || question.prompt_tokens == 0;
+  const EngineTiming* timing = TimingOf(state, request.service);
+  const bool known = timing != nullptr || request.prompt_tokens == 0;
   // Without the active requests of all daemons the placement would be poor.
   // Another placer, or the requesting daemon itself, places better.
   if (!known || !ReceivesAllActiveRequests(state)) return;
   RemotePlacement& remote = all[key];
   const auto waits_for = remote.waits_for;
-  remote = {.request = question,
+  remote = {.request = request,
             .prefill_time = timing == nullptr
                                 ? Duration::zero()
-                                : PrefillTime(*timing, question.prompt_tokens),
+                                : PrefillTime(*timing, request.prompt_tokens),
             .last_requested_at = state.now,
-            .retry_at = state.now + kPlacementRetryInterval,
+            .retry_at = state.now + kRemotePlacementRetryInterval,
             .waits_for = same ? waits_for : std::nullopt};
   if (TryPlace(state, remote)) {
     Respond(state, remote, PlacementOutcome::kQueued);
@@ -356,8 +357,8 @@
     const std::string service = remote.request.service;
     const bool is_long = remote.prefill_time > kShortPromptPrefillLimit;
     const bool behind = is_long && blocked_services.contains(service);
-    remote.retry_at =
-        state.now + (behind ? kQueueEstimateInterval : kPlacementRetryInterval);
+    remote.retry_at = state.now + (behind ? kQueueEstimateInterval
+                                          : kRemotePlacementRetryInterval);
     if (TryPlace(state, remote)) {
       if (is_long) blocked_services.insert(service);
     } else if (!remote.placement) {
@@ -366,15 +367,15 @@
   }
 }
 
-void DropPublishedPlacements(State& state, const LoadSnapshot& told) {
+void DropPublishedPlacements(State& state, const LoadSnapshot& snapshot) {
   auto& all = state.dispatch.remote_placements;
   if (all.empty()) return;
   const auto erase_placed = [&](std::uint64_t id) {
-    const auto it = all.find({told.peer_address, id});
+    const auto it = all.find({snapshot.peer_address, id});
     if (it != all.end() && it->second.placement) all.erase(it);
   };
-  for (const ActiveRequest& it : told.active_requests) erase_placed(it.id);
-  for (const std::uint64_t it : told.finished_ids) erase_placed(it);
+  for (const ActiveRequest& it : snapshot.active_requests) erase_placed(it.id);
+  for (const std::uint64_t it : snapshot.finished_ids) erase_placed(it);
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/endings.cc
+++ b/serving/src/endings.cc
@@ -21,7 +21,7 @@
 // response. Most interrupted responses come from servers that still run; such a
 // server responds to the probe within some milliseconds, and the request isn't
 // crash-suspected then.
-constexpr Duration kLivenessSignalTimeout = milliseconds(15);
+constexpr Duration kFirstProbeResultTimeout = milliseconds(15);
 
 void LogCrash(State& state, std::uint64_t fingerprint, BackendId incarnation,
               const std::string& source) {
@@ -176,7 +176,7 @@
       state.liveness_checks.begin(), state.liveness_checks.end(),
       [&](const auto& it) {
         const LivenessCheck& check = it.second;
-        return state.now < check.since + kLivenessSignalTimeout &&
+        return state.now < check.since + kFirstProbeResultTimeout &&
                check.attempts_by_fingerprint.contains(fingerprint);
       });
 }
--- a/serving/src/long_placement.cc
+++ b/serving/src/long_placement.cc
@@ -15,15 +15,15 @@
 // their order.
 constexpr Duration kMaxBacklogForPart = milliseconds(30);
 // The share of the wanted engines that must have capacity before a long prompt
-// starts. On few engines it would block other prompts for long.
+// starts. A prompt on too few engines would hold them for long.
 constexpr double kMinGroupShare = 0.6;
-// The prefill time of a part that is preferred at least. The engine steps
-// around a part take about as long, and the engine prefills nothing else in
-// them. The values compared over 24 days of load were 40, 80, 140 and 220 ms.
-constexpr Duration kPreferredMinPart = milliseconds(140);
+// The preferred shortest prefill time of a part. The engine steps around a part
+// take about as long, and the engine prefills nothing else in them. The
+// alternatives are 40, 80 and 220 ms.
+constexpr Duration kPreferredMinPartPrefillTime = milliseconds(140);
 // The shortest prefill time of a part. With less, the engine step around it
 // costs several times the prefill.
-constexpr Duration kMinPart = milliseconds(40);
+constexpr Duration kMinPartPrefillTime = milliseconds(40);
 // Engines reserve memory in blocks of this many tokens.
 constexpr std::int64_t kMemoryBlockTokens = 16;
 // Engines that long prompts don't use, however few short prompts there are.
@@ -100,7 +100,7 @@
     if (is_open || it.suspected || it.helper_parts >= timing.slots) continue;
     // An engine without short prompts is kept for those that arrive next.
     if (it.short_running == 0) continue;
-    if (KeepsEventGaps(timing, it, kMinPart)) beside.push_back(&it);
+    if (KeepsEventGaps(timing, it, kMinPartPrefillTime)) beside.push_back(&it);
   }
   return beside;
 }
@@ -151,7 +151,8 @@
 // of eight prompts of the usual 8.7 s.
 std::size_t WantedEngines(const std::vector<const EngineView*>& open,
                           Duration prefill_time, const PlacementQuery& query) {
-  auto parts = static_cast<std::size_t>(prefill_time / kPreferredMinPart);
+  auto parts =
+      static_cast<std::size_t>(prefill_time / kPreferredMinPartPrefillTime);
   if (MissesObjective(prefill_time, query)) {
     parts = std::min(parts, EnginesForDeadline(prefill_time, query.time_left));
   }
@@ -196,12 +197,13 @@
 // prompts 4 to 7 s late and caused event gaps of 3 to 4 s in five streams. A
 // prompt that can meet its objective doesn't wait for idle engines, as small
 // pools seldom have enough of them.
-constexpr Duration kLongPartPrefill = seconds(1);
+constexpr Duration kMaxBusyEnginePartPrefillTime = seconds(1);
 
 bool MayTakePart(const EngineTiming& timing, const EngineView& engine,
                  Duration part, bool misses_objective) {
   const bool idle = engine.running == 0 && engine.helper_parts == 0;
-  if (misses_objective && part > kLongPartPrefill && !idle) return false;
+  if (misses_objective && part > kMaxBusyEnginePartPrefillTime && !idle)
+    return false;
   return KeepsEventGaps(timing, engine, part);
 }
 
@@ -253,7 +255,7 @@
     if (group.decoder != nullptr) return group;
   }
   const auto parts = static_cast<std::size_t>(
-      PrefillTime(timing, query.prompt_tokens) / kMinPart);
+      PrefillTime(timing, query.prompt_tokens) / kMinPartPrefillTime);
   const std::size_t max_size =
       std::min({parts, ready.size(), kMaxHelpersPerRequest + 1});
   for (std::size_t n = wanted + 1; n <= max_size; ++n) {
--- a/serving/src/members.cc
+++ b/serving/src/members.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // A daemon from which no snapshot came for this long isn't live: clients don't
-// get its address, and its active requests don't count. The time allows for two
-// lost full snapshots in a row.
-constexpr Duration kLivenessTimeout = milliseconds(2000);
+// get its address, and its active requests don't count. The time allows for one
+// lost full snapshot.
+constexpr Duration kDaemonLivenessTimeout = milliseconds(2000);
 // Margin within the key freshness limit for the time from admitting a request
 // to sending it to a backend server.
 constexpr Duration kFreshnessMargin = milliseconds(200);
@@ -19,7 +19,7 @@
 }  // namespace
 
 bool IsLive(const State& state, const Member& member) {
-  return state.now - member.received_at < kLivenessTimeout;
+  return state.now - member.received_at < kDaemonLivenessTimeout;
 }
 
 DaemonCount CountOf(const State& state) {
--- a/serving/src/placement.cc
+++ b/serving/src/placement.cc
@@ -13,9 +13,8 @@
 // The share of an engine's slots that is filled before the next engine in the
 // order is used. A high share leaves long prompts engines without short ones,
 // but a full engine makes a request wait for a slot when several daemons choose
-// it at the same moment. The alternatives compared over 36 days of load were
-// 0.6 while little prefill of long prompts is due, and 0.85 and 0.95 at all
-// times.
+// it at the same moment. The alternatives are 0.6 while little prefill of long
+// prompts is due, and 0.85 or 0.95 at all times.
 constexpr double kSlotFillShare = 0.9;
 // The share of an engine's memory that placement uses. The rest stays free, as
 // responses may need more than the whole blocks that are counted for them.
@@ -97,9 +96,9 @@
 }
 
 // Daemons that place short prompts at the same moment don't know of each
-// other's choice yet. They choose at random among more engines the more are
-// full, one more for each so many, since an engine that gets several prompts at
-// once prefills them one after another.
+// other's choice yet. The random choice gains one engine for every
+// kFullEnginesPerChoice engines passed over at the start of the order, since an
+// engine that gets several prompts at once prefills them one after another.
 constexpr std::size_t kFullEnginesPerChoice = 8;
 
 // The number of engines at the start of the order that short prompts use as
@@ -184,11 +183,11 @@
                 pairs * timing.attention_ms_per_million_pairs);
 }
 
-Duration DecodeStepTime(const EngineTiming& timing, std::int64_t writers,
+Duration DecodeStepTime(const EngineTiming& timing, std::int64_t decoding,
                         std::int64_t context_tokens) {
   const double step =
       timing.step_ms +
-      static_cast<double>(writers) * timing.step_ms_per_decoder +
+      static_cast<double>(decoding) * timing.step_ms_per_decoder +
       static_cast<double>(context_tokens) / 1000 * timing.context_ms_per_1000;
   return FromMs(step * static_cast<double>(timing.tokens_per_event));
 }
@@ -206,7 +205,7 @@
 
 std::vector<EngineView> BuildPoolView(
     const EngineTiming& timing, std::vector<EngineView> engines,
-    const std::vector<const ActiveRequest*>& works, Time now) {
+    const std::vector<const ActiveRequest*>& active_requests, Time now) {
   std::vector<std::vector<PromptPart>> parts(engines.size());
   const auto find = [&](BackendId id) -> std::optional<std::size_t> {
     const auto it = std::lower_bound(
@@ -215,7 +214,7 @@
     if (it == engines.end() || it->id != id) return std::nullopt;
     return static_cast<std::size_t>(it - engines.begin());
   };
-  for (const ActiveRequest* it : works) {
+  for (const ActiveRequest* it : active_requests) {
     const Duration prefill_time = PrefillTime(timing, it->prompt_tokens);
     const PromptPart part{
         .started_at = it->started_at,
--- a/serving/src/proofs.cc
+++ b/serving/src/proofs.cc
@@ -22,20 +22,19 @@
 // 10 ms. The share is small enough that daemons that query as late as possible
 // (at 0.84 of the limit) notice it before their state is too old to use.
 constexpr double kUnansweredShare = 0.1;
-// The share of the propagation limit for which no daemon must be known to have
-// had a response before an unanswered query means that the store is
-// unresponsive. It exceeds the poll interval, as the pollers' relays report
-// responses too. A daemon whose own query is unanswered for this long while
-// others get responses is cut off or refused, and can't learn anything newer
-// either.
+// If no daemon is known to have had a response for this share of the
+// propagation limit, an unanswered query means that the store is unresponsive.
+// The share exceeds the poll interval, as the pollers' relays report responses
+// too. A daemon whose own query is unanswered for this long while others get
+// responses is cut off or refused, and can't learn anything newer either.
 constexpr double kNoResponseShare = 0.5;
 // The share of the propagation limit for which a daemon goes on serving after
 // the store responds again, until its first query from then on is answered.
 // Two failed queries fit into it.
 constexpr double kRecoveryShare = 0.4;
-// How long a backend server is kept whose entry may only have expired.
-// Entries that expire while the store is unavailable come back with the next
-// heartbeat of their server, at most 1.2 s later; a server that is leaving must
+// How long a backend server is kept whose entry may only have expired. Entries
+// that expire while the store is unavailable come back with the next lease
+// renewal of their server, at most 1.2 s later; a server that is leaving must
 // be dropped 2 s after the store accepted its change.
 constexpr Duration kExpiredEntryWait = milliseconds(1600);
 // Limits the confirmations that are kept of configurations not received yet;
--- a/serving/src/quarantine.cc
+++ b/serving/src/quarantine.cc
@@ -11,10 +11,10 @@
 
 // How long a crash is part of each full snapshot. Several are sent within this
 // time, since some of them may be lost.
-constexpr Duration kPublishDuration = seconds(3);
+constexpr Duration kCrashPublishDuration = seconds(3);
 // How long a crash is part of each incremental snapshot. Shorter than
-// kPublishDuration, since incremental snapshots may follow each other quickly
-// and would repeat the same crashes.
+// kCrashPublishDuration, since incremental snapshots may follow each other
+// quickly and would repeat the same crashes.
 constexpr Duration kIncrementalPublishDuration = milliseconds(200);
 // Limits the size of a message at 18 bytes per crash. All crashes of a server
 // that ended while it ran 16 requests fit into one message.
@@ -89,7 +89,8 @@
 }
 
 std::vector<Crash> Quarantine::RecentCrashes(Time now, bool latest) {
-  while (!recent_.empty() && recent_.front().first < now - kPublishDuration) {
+  while (!recent_.empty() &&
+         recent_.front().first < now - kCrashPublishDuration) {
     recent_.pop_front();
   }
   const auto from =
--- a/serving/src/queue.cc
+++ b/serving/src/queue.cc
@@ -8,10 +8,11 @@
 namespace {
 
 // A prompt lets others pass that arrive up to its own prefill time later: the
-// value of serving a prompt grows more slowly than its prefill time, so short
-// prompts first yield the most for the engines' time. A prompt that has missed
-// its objective is worth about a quarter, and lets others pass for this
-// multiple of its prefill time.
+// value of a response to its client grows more slowly than the prefill time of
+// its prompt, so short prompts first yield the most for the engines' time. Late
+// prompts have a lower priority: one that has missed its objective is worth
+// about a quarter of one served in time, and lets others pass for this multiple
+// of its prefill time.
 constexpr int kLateQueueKeyFactor = 10;
 // The share of their time that the engines for long prompts spend on prefill.
 // The rest goes to decoding, and to parts that wait for the slowest one.
@@ -33,8 +34,9 @@
 
 }  // namespace
 
-Time QueueKeyOf(const State& state, Time arrived, Time due, Duration read) {
-  return arrived + read * (state.now > due ? kLateQueueKeyFactor : 1);
+Time QueueKeyOf(const State& state, Time arrived, Time due,
+                Duration prefill_time) {
+  return arrived + prefill_time * (state.now > due ? kLateQueueKeyFactor : 1);
 }
 
 Time QueueKeyOf(const State& state, const PlacementDemand& demand) {
@@ -45,9 +47,9 @@
   return QueueKeyOf(state, request.arrived, request.due, request.prefill_time);
 }
 
-Time QueueKeyOf(const State& state, const RemotePlacement& asked) {
-  return QueueKeyOf(state, asked.request.arrived, asked.request.due,
-                    asked.prefill_time);
+Time QueueKeyOf(const State& state, const RemotePlacement& placement) {
+  return QueueKeyOf(state, placement.request.arrived, placement.request.due,
+                    placement.prefill_time);
 }
 
 bool AwaitsRateLimit(const Request& request) {
@@ -100,7 +102,8 @@
   }
   std::size_t short_prompts = 0;
   for (const ActiveRequest* it : AllActiveRequests(state)) {
-    // Plain requests have no prompt to prefill.
+    // Requests to a plain service (one without model engines) have no prompt to
+    // prefill.
     if (it->prompt_tokens == 0) continue;
     const Duration prefill_time = PrefillTime(timing, it->prompt_tokens);
     if (prefill_time <= kShortPromptPrefillLimit) ++short_prompts;
@@ -128,20 +131,20 @@
                     std::max(max_retry_after, kMinRetryAfter));
 }
 
-std::optional<DeadlineUnreachable> CheckDeadline(State& state,
-                                                 const PlacementDemand& demand,
-                                                 const QueueEstimate& outlook) {
-  const Time expected = state.now + outlook.first_token;
+std::optional<DeadlineUnreachable> CheckDeadline(
+    State& state, const PlacementDemand& demand,
+    const QueueEstimate& estimate) {
+  const Time expected = state.now + estimate.first_token;
   if (expected <= demand.deadline) return std::nullopt;
   Log(state, "gives_up",
       {{"request", demand.id},
        {"prompt", std::to_string(demand.prompt_tokens)},
-       {"ahead", std::to_string(outlook.ahead)},
-       {"expected_start_ms", Millis(outlook.start)},
-       {"expected_first_ms", Millis(outlook.first_token)},
+       {"ahead", std::to_string(estimate.ahead)},
+       {"expected_start_ms", Millis(estimate.start)},
+       {"expected_first_ms", Millis(estimate.first_token)},
        {"waited_ms", Millis(state.now - demand.arrived)}});
   return DeadlineUnreachable{.retry_after =
-                                 RetryAfterOf(state, demand, outlook.start)};
+                                 RetryAfterOf(state, demand, estimate.start)};
 }
 
 }  // namespace scaleshed::serving::internal
--- a/serving/src/reducer.cc
+++ b/serving/src/reducer.cc
@@ -26,7 +26,7 @@
 // since clients keep using its address for a while. After that it exits with
 // its last response, and at the second share in any case.
 constexpr double kAdmittingShareOfGrace = 0.8;
-constexpr double kMaxShareOfGrace = 0.96;
+constexpr double kExitShareOfGrace = 0.96;
 
 void OnStop(State& state) {
   if (state.stop_at) return;
@@ -44,7 +44,7 @@
   if (!state.stop_at || state.exited) return;
   const Duration elapsed = state.now - *state.stop_at;
   const bool time_is_up =
-      elapsed >= FractionOf(state.options.shutdown_grace, kMaxShareOfGrace);
+      elapsed >= FractionOf(state.options.shutdown_grace, kExitShareOfGrace);
   const bool drained = elapsed >= FractionOf(state.options.shutdown_grace,
                                              kAdmittingShareOfGrace) &&
                        state.requests.empty();
@@ -61,7 +61,7 @@
 
 void OnTick(State& state) {
   state.ticked_at = state.now;
-  // What is known expires before the requests below are sent by it.
+  // Drops expired state first, so that no request below is sent by it.
   DropLapsedBackends(state);
   LogLagChange(state);
   ApplyFirstConfirmation(state);
@@ -143,10 +143,10 @@
 
 }  // namespace
 
-void Log(State& state, std::string what,
+void Log(State& state, std::string event,
          std::vector<std::pair<std::string, std::string>> fields,
          bool routine) {
-  state.effects.emplace_back(LogDecision{.event = std::move(what),
+  state.effects.emplace_back(LogDecision{.event = std::move(event),
                                          .fields = std::move(fields),
                                          .routine = routine});
 }
--- a/serving/src/reports.cc
+++ b/serving/src/reports.cc
@@ -17,7 +17,7 @@
 constexpr double kSlowdownThreshold = 1.5;
 // Time for which a report keeps a slow engine out. It exceeds two report
 // intervals, so that one lost report changes nothing.
-constexpr Duration kSlowAvoidance = milliseconds(3100);
+constexpr Duration kSlowAvoidanceDuration = milliseconds(3100);
 
 // Whether this daemon fetches the reports of an engine. The serving daemons
 // agree on one of them without messages, by the highest hash, and on another
@@ -93,7 +93,7 @@
   const bool was_slow = backend->slow;
   backend->slow = event.slowdown >= kSlowdownThreshold;
   if (backend->slow) {
-    AvoidSlowBackend(state, *backend, kSlowAvoidance);
+    AvoidSlowBackend(state, *backend, kSlowAvoidanceDuration);
   } else if (was_slow) {
     backend->slow_until = state.now;
     state.has_unpublished_changes = true;
--- a/serving/src/server_limits.cc
+++ b/serving/src/server_limits.cc
@@ -9,8 +9,8 @@
 // active requests meter the requests that the server gets from everyone: in a
 // small fleet every daemon, in a large one the placers, which then place plain
 // requests too. Two of them that decide within the latency of a message may
-// both take the last token; this leaves a token deficit that delays the
-// following requests.
+// both take the last rate token; this leaves a deficit of rate tokens that
+// delays the following requests.
 namespace scaleshed::serving::internal {
 namespace {
 
@@ -18,14 +18,14 @@
 // limit: only a response can tell that the limit has ended.
 constexpr double kMinRequestRate = 0.1;
 // Full snapshots carry a rate limit for this long after it was last advertised.
-constexpr Duration kPublishDuration = seconds(30);
+constexpr Duration kRateLimitPublishDuration = seconds(30);
 // The end of a rate limit is remembered this long, because a daemon that seldom
 // sends to the server may still publish the limit.
 constexpr Duration kEndedLimitRetention = seconds(600);
 // The rate limit of an incarnation without an entry is kept this long, because
 // an entry whose lease expired may come back.
-constexpr Duration kUnlistedRetention = seconds(60);
-// A request begins to wait for a token only if one is expected within this
+constexpr Duration kUnlistedRateLimitRetention = seconds(60);
+// A request begins to wait for a rate token only if one is expected within this
 // share of the time to its objective; the remainder covers what the estimate
 // doesn't include. Once it waits, it is served even past its objective, up to
 // its deadline.
@@ -94,16 +94,16 @@
 Duration ExpectedWait(State& state, std::size_t ahead,
                       const std::vector<const Backend*>& open) {
   double rate = 0;
-  Duration first_token = Duration::max();
+  Duration time_to_next_token = Duration::max();
   for (const Backend* it : open) {
     KnownLimit& limit = state.limits.at(it->id);
     rate += RateOf(limit) * RateShare(state);
-    first_token =
-        std::min(first_token, limit.rate_limiter.TimeUntilToken(state.now));
+    time_to_next_token = std::min(time_to_next_token,
+                                  limit.rate_limiter.TimeUntilToken(state.now));
   }
   const std::chrono::duration<double> queue_delay(static_cast<double>(ahead) /
                                                   rate);
-  return first_token + std::chrono::duration_cast<Duration>(queue_delay);
+  return time_to_next_token + std::chrono::duration_cast<Duration>(queue_delay);
 }
 
 // The backend server of a placement and its prefill helpers.
@@ -116,13 +116,13 @@
 
 }  // namespace
 
-std::optional<double> RateLimitOf(const State& state, BackendId life) {
-  const auto it = state.limits.find(life);
+std::optional<double> RateLimitOf(const State& state, BackendId backend) {
+  const auto it = state.limits.find(backend);
   return it == state.limits.end() ? std::nullopt : it->second.limit.per_second;
 }
 
-bool IsRateLimited(const State& state, BackendId life) {
-  return RateLimitOf(state, life).has_value();
+bool IsRateLimited(const State& state, BackendId backend) {
+  return RateLimitOf(state, backend).has_value();
 }
 
 bool AnyRateLimited(const State& state, const std::string& service) {
@@ -135,26 +135,26 @@
 }
 
 std::vector<BackendId> KnownRateLimitsAt(const State& state,
-                                         const Placement& placed) {
-  auto servers = BackendsOf(placed);
+                                         const Placement& placement) {
+  auto servers = BackendsOf(placement);
   std::erase_if(servers,
                 [&](BackendId it) { return !state.limits.contains(it); });
   return servers;
 }
 
-std::vector<BackendId> UncountedRateLimitsAt(const State& state,
-                                             const PlacementResponse& answer) {
-  auto servers = BackendsOf(answer.placement);
+std::vector<BackendId> UncountedRateLimitsAt(
+    const State& state, const PlacementResponse& response) {
+  auto servers = BackendsOf(response.placement);
   std::erase_if(servers, [&](BackendId it) {
-    const auto& counted = answer.rate_limits_counted;
+    const auto& counted = response.rate_limits_counted;
     return !IsRateLimited(state, it) ||
            std::find(counted.begin(), counted.end(), it) != counted.end();
   });
   return servers;
 }
 
-void RepublishRateLimits(State& state, const std::vector<BackendId>& lives) {
-  for (const BackendId it : lives) state.limits.at(it).unpublished = true;
+void RepublishRateLimits(State& state, const std::vector<BackendId>& backends) {
+  for (const BackendId it : backends) state.limits.at(it).unpublished = true;
   state.has_unpublished_changes = true;
 }
 
@@ -178,7 +178,7 @@
   const bool avoid_limited = demand.prefill_time > kShortPromptPrefillLimit ||
                              !ReceivesAllActiveRequests(state);
   if (!unlimited.empty() && avoid_limited) return unlimited;
-  // Tokens go first to the requests that already wait for them.
+  // Rate tokens go first to the requests that already wait for them.
   if (!within_limit.empty() && AheadOf(state, demand) >= within_limit.size())
     return unlimited;
   unlimited.insert(unlimited.end(), within_limit.begin(), within_limit.end());
@@ -210,26 +210,26 @@
                              .shortage = Shortage::kRateLimit};
 }
 
-void RecordStart(State& state, BackendId life) {
-  KnownLimit* limit = FindLimit(state, life);
+void RecordStart(State& state, BackendId backend) {
+  KnownLimit* limit = FindLimit(state, backend);
   if (limit != nullptr) limit->rate_limiter.TakeToken(state.now);
 }
 
-void RecordStart(State& state, const Placement& placed) {
-  for (const BackendId it : BackendsOf(placed)) RecordStart(state, it);
+void RecordStart(State& state, const Placement& placement) {
+  for (const BackendId it : BackendsOf(placement)) RecordStart(state, it);
 }
 
-void RecordPeerStarts(State& state, const LoadSnapshot& told,
+void RecordPeerStarts(State& state, const LoadSnapshot& snapshot,
                       const std::vector<ActiveRequest>& known) {
   if (state.limits.empty() || !ReceivesAllActiveRequests(state)) return;
-  for (const ActiveRequest& it : told.active_requests) {
+  for (const ActiveRequest& it : snapshot.active_requests) {
     const bool already_known = std::any_of(
         known.begin(), known.end(), [&](const ActiveRequest& other) {
           return other.id == it.id && other.backend == it.backend;
         });
     // This daemon counted the start when it placed the request as a placer.
     const auto remote =
-        state.dispatch.remote_placements.find({told.peer_address, it.id});
+        state.dispatch.remote_placements.find({snapshot.peer_address, it.id});
     const bool counted_at_placement =
         remote != state.dispatch.remote_placements.end() &&
         remote->second.placement &&
@@ -240,41 +240,44 @@
   }
 }
 
-void ApplyRateLimit(State& state, const ServerLimit& named, bool own) {
-  const auto found = state.limits.find(named.backend);
+void ApplyRateLimit(State& state, const ServerLimit& limit,
+                    bool received_directly) {
+  const auto found = state.limits.find(limit.backend);
   if (found == state.limits.end()) {
-    if (!named.per_second) return;
-    KnownLimit limit{.limit = named,
+    if (!limit.per_second) return;
+    KnownLimit known{.limit = limit,
                      .rate_limiter = StartRateLimiter(state.now)};
-    limit.received_directly = own;
-    limit.unpublished = own;
-    limit.rate_limiter.SetRate(state.now, RateOf(limit) * RateShare(state));
-    state.limits[named.backend] = limit;
+    known.received_directly = received_directly;
+    known.unpublished = received_directly;
+    known.rate_limiter.SetRate(state.now, RateOf(known) * RateShare(state));
+    state.limits[limit.backend] = known;
     state.has_unpublished_changes = true;
     return;
   }
-  KnownLimit& limit = found->second;
-  if (named.received_at < limit.limit.received_at) return;
-  const bool changed = limit.limit.per_second != named.per_second;
+  KnownLimit& known = found->second;
+  if (limit.received_at < known.limit.received_at) return;
+  const bool changed = known.limit.per_second != limit.per_second;
   // The limit is advertised again after it had ended: the requests that were
   // sent meanwhile are unknown, so that the metering starts afresh.
-  if (!limit.limit.per_second) limit.rate_limiter = StartRateLimiter(state.now);
-  limit.limit = named;
-  limit.received_directly = limit.received_directly || own;
+  if (!known.limit.per_second) known.rate_limiter = StartRateLimiter(state.now);
+  known.limit = limit;
+  known.received_directly = known.received_directly || received_directly;
   if (!changed) return;
-  limit.unpublished = limit.unpublished || own;
-  limit.rate_limiter.SetRate(state.now, RateOf(limit) * RateShare(state));
+  known.unpublished = known.unpublished || received_directly;
+  known.rate_limiter.SetRate(state.now, RateOf(known) * RateShare(state));
   state.has_unpublished_changes = true;
 }
 
-std::vector<ServerLimit> RateLimitsToPublish(State& state, bool news) {
+std::vector<ServerLimit> RateLimitsToPublish(State& state,
+                                             bool only_unpublished) {
   std::vector<ServerLimit> limits;
   for (auto& [id, it] : state.limits) {
     const bool publish_again =
         it.received_directly &&
-        state.now - it.limit.received_at < kPublishDuration;
-    if (news ? it.unpublished : publish_again) limits.push_back(it.limit);
-    if (news) it.unpublished = false;
+        state.now - it.limit.received_at < kRateLimitPublishDuration;
+    if (only_unpublished ? it.unpublished : publish_again)
+      limits.push_back(it.limit);
+    if (only_unpublished) it.unpublished = false;
   }
   return limits;
 }
@@ -284,7 +287,8 @@
     const auto& [id, limit] = it;
     const Duration age = state.now - limit.limit.received_at;
     if (!limit.limit.per_second) return age > kEndedLimitRetention;
-    return age > kUnlistedRetention && FindBackend(state, id) == nullptr;
+    return age > kUnlistedRateLimitRetention &&
+           FindBackend(state, id) == nullptr;
   });
 }
 
--- a/serving/src/server_words.cc
+++ b/serving/src/server_words.cc
@@ -7,11 +7,11 @@
 namespace {
 
 // Full snapshots carry for this long that a server is leaving.
-constexpr Duration kPublishDuration = seconds(10);
+constexpr Duration kLeavingPublishDuration = seconds(10);
 // That an incarnation is leaving is remembered this long after it was learned,
 // and longer while the incarnation has an entry: an entry that is gone may come
 // back, if only its lease expired.
-constexpr Duration kUnlistedRetention = seconds(60);
+constexpr Duration kUnlistedLeavingRetention = seconds(60);
 // Upper limit of the time for which other daemons avoid a server that asked
 // this daemon for a backoff.
 constexpr Duration kMaxPublishedAvoidance = seconds(1);
@@ -91,24 +91,26 @@
     RecordBackoff(state, request, signals.backoff);
 }
 
-void ApplyLeaving(State& state, BackendId life, const std::string& request,
-                  bool own) {
+void ApplyLeaving(State& state, BackendId incarnation,
+                  const std::string& request, bool received_directly) {
   const auto [known, is_new] = state.leaving.try_emplace(
-      life, KnownLeaving{.received_at = state.now, .unpublished = own});
+      incarnation,
+      KnownLeaving{.received_at = state.now, .unpublished = received_directly});
   if (!is_new) return;
   state.has_unpublished_changes = true;
-  const Backend* backend = FindBackend(state, life);
+  const Backend* backend = FindBackend(state, incarnation);
   Log(state, "server_leaving",
       {{"backend", backend == nullptr ? "" : backend->server.id},
-       {"life", FingerprintText(life)},
-       {"heard_of", own ? "itself" : "peer"},
+       {"life", FingerprintText(incarnation)},
+       {"heard_of", received_directly ? "itself" : "peer"},
        {"request", request}});
-  RecordBackendGone(state, life,
-                    own ? "its own response" : "a response to another daemon");
+  RecordBackendGone(
+      state, incarnation,
+      received_directly ? "its own response" : "a response to another daemon");
 }
 
-bool IsBackingOff(const State& state, BackendId life) {
-  const auto it = state.backoffs.find(life);
+bool IsBackingOff(const State& state, BackendId backend) {
+  const auto it = state.backoffs.find(backend);
   return it != state.backoffs.end() && it->second > state.now;
 }
 
@@ -150,19 +152,21 @@
   });
 }
 
-std::vector<BackendId> LeavingToPublish(State& state, bool news) {
+std::vector<BackendId> LeavingToPublish(State& state, bool only_unpublished) {
   std::vector<BackendId> leaving;
   for (auto& [id, it] : state.leaving) {
-    const bool publish_again = state.now - it.received_at < kPublishDuration;
-    if (news ? it.unpublished : publish_again) leaving.push_back(id);
-    if (news) it.unpublished = false;
+    const bool publish_again =
+        state.now - it.received_at < kLeavingPublishDuration;
+    if (only_unpublished ? it.unpublished : publish_again)
+      leaving.push_back(id);
+    if (only_unpublished) it.unpublished = false;
   }
   return leaving;
 }
 
 void DropExpiredLeaving(State& state) {
   std::erase_if(state.leaving, [&](const auto& it) {
-    return state.now - it.second.received_at > kUnlistedRetention &&
+    return state.now - it.second.received_at > kUnlistedLeavingRetention &&
            FindBackend(state, it.first) == nullptr;
   });
 }
--- a/serving/src/snapshots.cc
+++ b/serving/src/snapshots.cc
@@ -8,9 +8,9 @@
 namespace {
 
 // Each live daemon gets full snapshots at this interval, so short that this
-// daemon stays live there if two in a row are lost. The send times differ
-// between recipients, since 75 full snapshots at once would occupy a link of
-// 20 Mbit/s for 15 ms.
+// daemon stays live there if one is lost. The send times differ between
+// recipients, since 75 full snapshots at once would occupy a link of 20 Mbit/s
+// for 15 ms.
 constexpr Duration kFullSnapshotInterval = milliseconds(800);
 // The interval is longer for daemons that aren't live.
 constexpr Duration kSilentPeerSnapshotInterval = seconds(2);
--- a/serving/src/starting.cc
+++ b/serving/src/starting.cc
@@ -11,7 +11,7 @@
 // How often a request may be declined by backend servers and sent again.
 constexpr int kMaxDeclinedSends = 3;
 // The interval at which placement is retried while the pool has no capacity.
-constexpr Duration kPlacementRetryInterval = milliseconds(10);
+constexpr Duration kLocalPlacementRetryInterval = milliseconds(10);
 // The delay after a memory reservation was refused: about the time until some
 // response is complete and frees memory.
 constexpr Duration kMemoryRetryInterval = milliseconds(200);
@@ -24,9 +24,9 @@
 // falls silent without closing the connection counts as ended; with the lease,
 // its reserved memory is free 3.8 s later, within the 4 s after which memory
 // counts as lost. While the engine sends no events, its report is fetched at
-// kLivenessProbeInterval; a report takes some ms.
+// kAliveReportInterval; a report takes some ms.
 constexpr Duration kMaxLivenessSignalAge = milliseconds(300);
-constexpr Duration kLivenessProbeInterval = milliseconds(250);
+constexpr Duration kAliveReportInterval = milliseconds(250);
 // Engines answer a memory reservation within milliseconds, or not at all.
 constexpr Duration kReservationTimeout = milliseconds(400);
 // Another backend server is tried when a stream's first event takes longer than
@@ -55,13 +55,13 @@
     // The placer may not know yet that this server is leaving, or asked for a
     // backoff.
     if (!takes_work(backend)) request.excluded.insert(request.backend);
-    Requeue(state, request, kPlacementRetryInterval);
+    Requeue(state, request, kLocalPlacementRetryInterval);
     return;
   }
   if (RefuseIfQuarantined(state, request)) return;
   // The placer may not know of the crash check yet.
   if (AwaitsCrashCheck(state, request.metadata.fingerprint)) {
-    Requeue(state, request, kPlacementRetryInterval);
+    Requeue(state, request, kLocalPlacementRetryInterval);
     return;
   }
   if (!CommitRetry(state, request)) {
@@ -121,14 +121,14 @@
 }
 
 void ReserveHelperMemory(State& state, Request& request,
-                         const Placement& placed) {
+                         const Placement& placement) {
   request.phase = Phase::kReserving;
   request.progress_deadline = state.now + kReservationTimeout;
-  request.memory_reservations.assign(placed.helpers.size(), {});
-  for (std::size_t i = 0; i < placed.helpers.size(); ++i) {
+  request.memory_reservations.assign(placement.helpers.size(), {});
+  for (std::size_t i = 0; i < placement.helpers.size(); ++i) {
     MemoryReservation& reservation = request.memory_reservations[i];
-    reservation.tokens = placed.helper_tokens[i];
-    const Backend* helper = FindBackend(state, placed.helpers[i]);
+    reservation.tokens = placement.helper_tokens[i];
+    const Backend* helper = FindBackend(state, placement.helpers[i]);
     if (reservation.tokens == 0 || helper == nullptr) {
       reservation.granted = true;
       continue;
@@ -149,84 +149,87 @@
   }
 }
 
-Duration ProgressTimeout(const Request& request, const Placement& placed) {
+Duration ProgressTimeout(const Request& request, const Placement& placement) {
   if (request.route.kind == RequestKind::kRepeatable) {
     return std::max(kHangTimeoutObjectives * request.route.objective,
                     kMinHangTimeout);
   }
   const Duration grace =
       std::max(kFirstEventGrace, request.route.objective / 2);
-  return 2 * placed.first_token + grace;
+  return 2 * placement.first_token + grace;
 }
 
 }  // namespace
 
 void StartPlacedAttempt(State& state, Request& request,
-                        const Placement& placed) {
+                        const Placement& placement) {
   request.attempt = ++state.last_attempt_id;
   ++request.attempt_number;
   request.placer.clear();
   state.attempts[request.attempt] = request.key;
-  request.backend = placed.backend;
-  const Backend* backend = FindBackend(state, placed.backend);
+  request.backend = placement.backend;
+  const Backend* backend = FindBackend(state, placement.backend);
   request.backend_name = backend == nullptr ? "" : backend->server.id;
   request.active_request = {.id = request.key,
-                            .backend = placed.backend,
-                            .helpers = placed.helpers,
+                            .backend = placement.backend,
+                            .helpers = placement.helpers,
                             .prompt_tokens = request.metadata.prompt_tokens,
                             .answer_tokens = request.metadata.answer_tokens,
                             .started_at = state.now,
                             .decoding = false,
                             .max_event_gap = request.route.max_event_gap,
-                            .helper_tokens = placed.helper_tokens,
+                            .helper_tokens = placement.helper_tokens,
                             .fingerprint = request.metadata.fingerprint};
-  request.expected_time_to_first_token = placed.first_token;
-  RecordStart(state, placed);
+  request.expected_time_to_first_token = placement.first_token;
+  RecordStart(state, placement);
   state.has_unpublished_changes = true;
-  const bool needs_reservations =
-      std::any_of(placed.helper_tokens.begin(), placed.helper_tokens.end(),
-                  [](std::int64_t it) { return it > 0; });
+  const bool needs_reservations = std::any_of(
+      placement.helper_tokens.begin(), placement.helper_tokens.end(),
+      [](std::int64_t it) { return it > 0; });
   if (needs_reservations) {
-    ReserveHelperMemory(state, request, placed);
+    ReserveHelperMemory(state, request, placement);
     return;
   }
   request.memory_reservations.clear();
-  request.progress_deadline = state.now + ProgressTimeout(request, placed);
+  request.progress_deadline = state.now + ProgressTimeout(request, placement);
   SendAttempt(state, request);
 }
 
-void QueueRequest(State& state, Request& request, Duration pause, Shortage of) {
+void QueueRequest(State& state, Request& request, Duration delay,
+                  Shortage shortage) {
   // A request that goes on waiting is no change to publish. Otherwise each
   // retry at a full pool would cost one more message to every recipient.
   const bool changed =
-      request.phase != Phase::kWaiting || request.waits_for != of;
-  if (request.waits_for != of) {
-    request.waits_for = of;
+      request.phase != Phase::kWaiting || request.waits_for != shortage;
+  if (request.waits_for != shortage) {
+    request.waits_for = shortage;
     Log(state, "waits",
         {{"request", request.metadata.id},
-         {"for", std::string(NameIn(kShortageNames, of))},
+         {"for", std::string(NameIn(kShortageNames, shortage))},
          {"prompt", std::to_string(request.metadata.prompt_tokens)},
          {"after_ms", Millis(state.now - request.arrived)}});
   }
   request.phase = Phase::kWaiting;
-  request.retry_at = state.now + pause;
+  request.retry_at = state.now + delay;
   state.has_unpublished_changes = state.has_unpublished_changes || changed;
 }
 
 void TryStart(State& state, Request& request) {
   // If this daemon is running late, the request's deadline may have passed.
   if (state.now >= request.deadline) {
-    RefuseRequest(state, request, Refusal::kTimeLimit, kPlacementRetryInterval);
+    RefuseRequest(state, request, Refusal::kTimeLimit,
+                  kLocalPlacementRetryInterval);
     return;
   }
   if (!AreBackendsUsable(state)) {
-    QueueRequest(state, request, kPlacementRetryInterval, Shortage::kFreshness);
+    QueueRequest(state, request, kLocalPlacementRetryInterval,
+                 Shortage::kFreshness);
     return;
   }
   if (RefuseIfQuarantined(state, request)) return;
   if (AwaitsLivenessSignal(state, request.metadata.fingerprint) ||
       AwaitsCrashCheck(state, request.metadata.fingerprint)) {
-    QueueRequest(state, request, kPlacementRetryInterval,
+    QueueRequest(state, request, kLocalPlacementRetryInterval,
                  Shortage::kCrashCheck);
     return;
   }
@@ -257,7 +260,8 @@
       Overloaded{
           [&](const Placement& it) { StartPlacedAttempt(state, request, it); },
           [&](const NoCapacityNow& it) {
-            QueueRequest(state, request, kPlacementRetryInterval, it.shortage);
+            QueueRequest(state, request, kLocalPlacementRetryInterval,
+                         it.shortage);
           },
           [&](const TooLarge&) {
             RefuseRequest(state, request, Refusal::kInvalid, {});
@@ -330,7 +334,7 @@
   if (request.phase != Phase::kRunning || alive) return true;
   const Backend* backend = FindBackend(state, request.backend);
   if (backend != nullptr && request.probe_due <= state.now) {
-    request.probe_due = state.now + kLivenessProbeInterval;
+    request.probe_due = state.now + kAliveReportInterval;
     RecordStart(state, request.backend);
     state.effects.emplace_back(FetchEngineReport{
         .backend = request.backend, .address = backend->server.address});
--- a/serving/src/store_eras.cc
+++ b/serving/src/store_eras.cc
@@ -13,17 +13,17 @@
 namespace {
 
 // The time after a restore in which the owners of entries can write them again:
-// backend servers do so with their second heartbeat at the latest. What the
+// backend servers do so with their second lease renewal at the latest. What the
 // store holds after this time is taken as current.
 constexpr Duration kReconciliationTime = milliseconds(2500);
 // The time after a restore for which a restored entry of a server that was
 // known to be deleted is ignored. The entry of a server that no longer runs
-// expires within three heartbeats.
+// expires within three lease renewal intervals.
 constexpr Duration kRestoredTombstoneTime = seconds(5);
 // A starting daemon waits for a snapshot from this number of other daemons
 // before it accepts the store alone as confirmation of its configuration: they
 // may know of a restore, unless they have just started too.
-constexpr std::size_t kSufficientPeers = 4;
+constexpr std::size_t kMinPeersToConfirm = 4;
 // Bounds of that wait for a daemon that receives snapshots from fewer daemons,
 // or from none: entries of daemons outlast their processes, and a backup may
 // lack the entries of running daemons.
@@ -60,7 +60,7 @@
   const Duration waited = state.now - state.started_at;
   if (live_peers == 0) return waited >= kMaxWaitWithoutPeers;
   const bool has_enough_peers =
-      live_peers >= std::min(state.listed_peers.size(), kSufficientPeers);
+      live_peers >= std::min(state.listed_peers.size(), kMinPeersToConfirm);
   return has_enough_peers || waited >= kMaxWaitWithFewPeers;
 }
 
@@ -182,11 +182,10 @@
   return state.store.epoch.restored_at.value_or(Time{}) + kReconciliationTime;
 }
 
-void RecordFirstRevisionNumber(State& state, const StoreRevision& revision) {
+void RecordFirstRevisionNumber(State& state, const StoreRevision& at) {
   StoreEpoch& epoch = state.store.epoch;
-  if (revision.epoch != epoch.number || epoch.first_revision_number != 0)
-    return;
-  epoch.first_revision_number = revision.number;
+  if (at.epoch != epoch.number || epoch.first_revision_number != 0) return;
+  epoch.first_revision_number = at.number;
 }
 
 void RecordStoredConfiguration(State& state, const ConfigurationStamp& stored) {
@@ -198,9 +197,9 @@
     epoch.stored_configuration = stored;
 }
 
-void ConfirmByStore(State& state, std::uint64_t epoch_number, Time queried_at) {
+void ConfirmByStore(State& state, std::uint64_t number, Time queried_at) {
   StoreEpoch& epoch = state.store.epoch;
-  if (epoch_number != epoch.number || queried_at == Time{}) return;
+  if (number != epoch.number || queried_at == Time{}) return;
   if (!epoch.reconciled && state.now >= epoch.reconciled_at)
     MarkReconciled(state, "time");
   if (!epoch.reconciled || AwaitsConfigurationRewrite(state)) return;
@@ -235,9 +234,9 @@
 }
 
 void ApplyRelayedConfirmation(State& state, const StoreRelay& relay,
-                              Time sent_at) {
+                              Time sent) {
   if (!relay.configuration_age) return;
-  const Time queried_at = sent_at - *relay.configuration_age;
+  const Time queried_at = sent - *relay.configuration_age;
   if (IsNewer(relay.digest.configuration, StampOf(state))) {
     AwaitConfiguration(state, relay.digest.configuration, queried_at);
     return;
