--- a/serving/test/backend_lives_test.cc
+++ b/serving/test/backend_lives_test.cc
@@ -308,7 +308,7 @@
   CHECK(daemon.FirstEffect<StartAttempt>()->attempt != sent.attempt);
 }
 
-TEST_CASE("A request that a new incarnation may be running is left there") {
+TEST_CASE("A request that a new incarnation may be running isn't cancelled") {
   SECTION("sent shortly before the new entry") {
     Daemon daemon;
     daemon.SendRequest("stream", 210'000);
--- a/serving/test/deadly_requests_test.cc
+++ b/serving/test/deadly_requests_test.cc
@@ -20,7 +20,7 @@
 constexpr Duration kPropagationTime = seconds(3);
 
 // What became of a load of poison requests and innocent ones.
-struct LoadResult {
+struct PoisonLoadResult {
   std::size_t crashes = 0;
   // Sends of a poison request later than kPropagationTime after the third
   // crash.
@@ -32,7 +32,7 @@
 // Sends `poison_requests` requests with one fingerprint to random daemons, one
 // every `gap`, and innocent requests besides. Calls `at_each_step` at each
 // step.
-LoadResult RunLoad(
+PoisonLoadResult RunPoisonLoad(
     SimulatedFleetOptions options, Duration gap, int poison_requests,
     const std::function<void(SimulatedFleet&)>& at_each_step =
         [](SimulatedFleet& /*fleet*/) {}) {
@@ -62,8 +62,8 @@
     fleet.AdvanceTime(kStep);
   }
   fleet.AdvanceTime(seconds(12));
-  LoadResult result{.crashes = fleet.crash_times().size(),
-                    .innocent = innocent.size()};
+  PoisonLoadResult result{.crashes = fleet.crash_times().size(),
+                          .innocent = innocent.size()};
   for (const RequestKey it : innocent) {
     if (fleet.answered().contains(it)) ++result.answered;
   }
@@ -75,8 +75,9 @@
   return result;
 }
 
-TEST_CASE("A small fleet sends a request that crashed three servers no more") {
-  const LoadResult result = RunLoad(
+TEST_CASE(
+    "A small fleet no longer sends a request that crashed three servers") {
+  const PoisonLoadResult result = RunPoisonLoad(
       {.daemons = 8, .data_centres = 3, .engines = 18}, milliseconds(60), 200);
   CHECK(result.late_sends == 0);
   // Without isolation, each poison request would crash a server of its own.
@@ -84,8 +85,9 @@
   CHECK(result.answered == result.innocent);
 }
 
-TEST_CASE("A medium fleet sends a request that crashed three servers no more") {
-  const LoadResult result = RunLoad(
+TEST_CASE(
+    "A medium fleet no longer sends a request that crashed three servers") {
+  const PoisonLoadResult result = RunPoisonLoad(
       {.daemons = 40, .data_centres = 4, .engines = 32}, milliseconds(60), 200);
   CHECK(result.late_sends == 0);
   CHECK(result.crashes <= 3);
@@ -93,7 +95,7 @@
 }
 
 TEST_CASE("Poison requests that arrive together don't crash a server each") {
-  const LoadResult result = RunLoad(
+  const PoisonLoadResult result = RunPoisonLoad(
       {.daemons = 8, .data_centres = 3, .engines = 18}, milliseconds(5), 60);
   CHECK(result.late_sends == 0);
   CHECK(result.crashes <= 3);
@@ -103,7 +105,7 @@
   for (int i = 0; i < daemons; ++i) fleet.RestartDaemon(i);
 }
 
-constexpr SimulatedFleetOptions kSmallFleet{
+constexpr SimulatedFleetOptions kSmallFleetWithoutPlainServers{
     .daemons = 8, .data_centres = 3, .engines = 18};
 // Time from a server's crash until it is recorded everywhere: the crash check,
 // the write to the store, and its propagation.
@@ -115,15 +117,16 @@
 TEST_CASE("A poison request stays quarantined after a kill of all daemons") {
   std::size_t crashes = 0;
   Time kill = Time::max();
-  const LoadResult result =
-      RunLoad(kSmallFleet, milliseconds(60), 200, [&](SimulatedFleet& fleet) {
-        if (fleet.crash_times().size() > crashes)
-          kill = fleet.now() + kRecordingTime;
-        crashes = fleet.crash_times().size();
-        if (fleet.now() < kill) return;
-        kill = Time::max();
-        RestartAll(fleet, kSmallFleet.daemons);
-      });
+  const PoisonLoadResult result =
+      RunPoisonLoad(kSmallFleetWithoutPlainServers, milliseconds(60), 200,
+                    [&](SimulatedFleet& fleet) {
+                      if (fleet.crash_times().size() > crashes)
+                        kill = fleet.now() + kRecordingTime;
+                      crashes = fleet.crash_times().size();
+                      if (fleet.now() < kill) return;
+                      kill = Time::max();
+                      RestartAll(fleet, kSmallFleetWithoutPlainServers.daemons);
+                    });
   CHECK(result.late_sends == 0);
 }
 
@@ -136,14 +139,15 @@
     std::mt19937 random(seed);
     int kills = 3;
     Time kill = Time::min();
-    const LoadResult result =
-        RunLoad(kSmallFleet, milliseconds(60), 120, [&](SimulatedFleet& fleet) {
+    const PoisonLoadResult result = RunPoisonLoad(
+        kSmallFleetWithoutPlainServers, milliseconds(60), 120,
+        [&](SimulatedFleet& fleet) {
           if (kill == Time::min())
             kill = fleet.now() + milliseconds(random() % 1500);
           if (fleet.now() < kill || kills == 0) return;
           --kills;
           kill = fleet.now() + milliseconds(500 + random() % 2500);
-          RestartAll(fleet, kSmallFleet.daemons);
+          RestartAll(fleet, kSmallFleetWithoutPlainServers.daemons);
         });
     INFO("seed " << seed);
     CHECK(result.late_sends <= 3);
@@ -153,24 +157,27 @@
 TEST_CASE("Crashes are stored once an unreachable store is back") {
   Time started_at{};
   bool restarted = false;
-  const LoadResult result =
-      RunLoad(kSmallFleet, milliseconds(60), 250, [&](SimulatedFleet& fleet) {
+  const PoisonLoadResult result = RunPoisonLoad(
+      kSmallFleetWithoutPlainServers, milliseconds(60), 250,
+      [&](SimulatedFleet& fleet) {
         if (started_at == Time{}) started_at = fleet.now();
         fleet.SetStoreUnreachable(fleet.now() < started_at + seconds(6));
         if (restarted || fleet.now() < started_at + seconds(9)) return;
         restarted = true;
-        RestartAll(fleet, kSmallFleet.daemons);
+        RestartAll(fleet, kSmallFleetWithoutPlainServers.daemons);
       });
   CHECK(restarted);
   CHECK(result.late_sends == 0);
 }
 
-TEST_CASE("Daemons that restart send a quarantined request no more") {
+TEST_CASE("Daemons that restart no longer send a quarantined request") {
   int restarts = 0;
-  const LoadResult result =
-      RunLoad(kSmallFleet, milliseconds(60), 200, [&](SimulatedFleet& fleet) {
+  const PoisonLoadResult result = RunPoisonLoad(
+      kSmallFleetWithoutPlainServers, milliseconds(60), 200,
+      [&](SimulatedFleet& fleet) {
         if (fleet.crash_times().size() < 3 || ++restarts % 40 != 0) return;
-        fleet.RestartDaemon(restarts / 40 % kSmallFleet.daemons);
+        fleet.RestartDaemon(restarts / 40 %
+                            kSmallFleetWithoutPlainServers.daemons);
       });
   CHECK(result.late_sends == 0);
 }
@@ -178,7 +185,7 @@
 // Innocent requests that ran at a crashed server must not be quarantined for
 // it: a successful response clears them, in the store too.
 TEST_CASE("Crashes of innocent requests are cleared once they are answered") {
-  SimulatedFleetOptions options = kSmallFleet;
+  SimulatedFleetOptions options = kSmallFleetWithoutPlainServers;
   options.hold_slack_share = true;
   SimulatedFleet fleet(options);
   fleet.MakeCrashing(kPoison);
--- a/serving/test/dispatch_test.cc
+++ b/serving/test/dispatch_test.cc
@@ -29,7 +29,7 @@
 // The messages that each request adds to those of an idle fleet.
 double MessagesPerRequest(int daemons) {
   SimulatedFleet fleet({.daemons = daemons, .data_centres = 5});
-  // A multiple of all intervals at which idle daemons publish.
+  // kSpan is a multiple of all intervals at which idle daemons publish.
   constexpr Duration kSpan = milliseconds(1600);
   const std::size_t idle = MessagesIn(fleet, kSpan);
   constexpr int kRequests = 40;
@@ -41,23 +41,23 @@
 }
 
 TEST_CASE("The messages per request don't grow with the number of daemons") {
-  const double in_small_fleet = MessagesPerRequest(40);
+  const double in_medium_fleet = MessagesPerRequest(40);
   const double in_large_fleet = MessagesPerRequest(160);
-  CHECK(in_small_fleet < 12);
+  CHECK(in_medium_fleet < 12);
   CHECK(in_large_fleet < 12);
 }
 
-TEST_CASE("Heartbeats stay inside data centres, except those of few daemons") {
+TEST_CASE("Heartbeats stay inside data centres, except those of hubs") {
   SimulatedFleet fleet({.daemons = 160, .data_centres = 5});
   const std::size_t all_to_all = 160 * 159;
-  // Ten daemons send heartbeats to all, the others to 31 and two placers.
+  // The ten hubs send heartbeats to all, the others to 31 and two placers.
   CHECK(MessagesIn(fleet, milliseconds(800)) < all_to_all / 3);
 }
 
 // Guards against hubs sending heartbeats to other data centres, whose daemons
 // send them none, so rarely that each daemon took the hubs for gone every two
 // seconds.
-TEST_CASE("Heartbeat recipients don't take the sender for gone in between") {
+TEST_CASE("No daemon is reported gone between its heartbeats") {
   SimulatedFleet fleet({.daemons = 60, .data_centres = 5});
   const std::size_t lines = fleet.log_line_count("member");
   fleet.AdvanceTime(seconds(6));
@@ -99,8 +99,9 @@
   CHECK(fleet.waits().size() == 60);
   int most = 0;
   for (const auto& [engine, n] : fleet.sends()) most = std::max(most, n);
-  // Of 60 prompts, five prefilled one after another meet an objective of 300
-  // ms.
+  // An even spread is two prompts per engine. Six that one engine prefills one
+  // after another take some 125 ms, well within 300 ms, the shortest objective
+  // that operators configure.
   CHECK(most <= 6);
 }
 
@@ -157,7 +158,7 @@
 // are killed at once. It takes 2 s until the placers are known to be gone;
 // until then each daemon placed locally, with only its own active requests to
 // go by.
-TEST_CASE("A hub at once replaces placers that died together") {
+TEST_CASE("A hub takes over at once when both placers freeze") {
   SimulatedFleet fleet({.daemons = 40, .data_centres = 4, .engines = 24});
   // At first only the placers know the active requests of all daemons.
   for (int i = 20; i < 30; ++i) fleet.SendPrompt(i, kLongPromptTokens);
--- a/serving/test/early_requests_test.cc
+++ b/serving/test/early_requests_test.cc
@@ -1,7 +1,7 @@
 // Guards against refusals by daemons that have just started. After half of the
 // daemons are killed and restarted together, clients retry at daemons that need
-// 80 to 230 ms until they have a configuration of 1,500 routes. Refusals during
-// that time used up the last try of one request in forty.
+// 80 to 230 ms until they have a configuration of 1,500 routes. For one request
+// in forty, a refusal during that time was the response to the last retry.
 
 #include <catch2/catch.hpp>
 
@@ -79,7 +79,9 @@
   CHECK(CountOf<Refuse>(daemon.Feed(milliseconds(425), Tick{})) == 1);
 }
 
-TEST_CASE("A daemon without a configuration refuses at once after warming up") {
+TEST_CASE(
+    "A daemon without a configuration refuses at once more than a second after "
+    "its start") {
   StartingDaemon daemon;
   CHECK(CountOf<Refuse>(daemon.SendRequest(milliseconds(1001), 1)) == 1);
 }
--- a/serving/test/fleet_repeats_test.cc
+++ b/serving/test/fleet_repeats_test.cc
@@ -1,6 +1,6 @@
 // Guards against more retries to a service, from all daemons together, than the
-// retry budget allows within a window. Checks one daemon without a network; the
-// soak test checks the sum over real processes.
+// retry budget allows within a window. Checks one daemon without a network;
+// testing/test/soak_test.cc checks the sum over real processes.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
--- a/serving/test/innocent_requests_test.cc
+++ b/serving/test/innocent_requests_test.cc
@@ -1,7 +1,8 @@
-// Guards against treating requests as crash-suspected because their responses
-// were interrupted at servers that still run. Long prompts were then placed
-// alone, without prefill helpers, at the engine with the fewest requests, or
-// waited until another request with their fingerprint had ended.
+// Guards against treating requests as suspected of crashing servers (crash
+// suspicion) because their responses were interrupted at servers that still
+// run. Long prompts were then placed alone, without prefill helpers, at the
+// engine with the fewest requests, or waited until another request with their
+// fingerprint had ended.
 
 #include "simulated_fleet_load.h"
 
@@ -18,7 +19,8 @@
 
 // Sends long prompts, a hot prompt that is sent again and again, and others to
 // engines that reset two responses in five. `with_fingerprints`: requests carry
-// fingerprints, which crash suspicion goes by.
+// fingerprints, by which daemons recognise a request suspected of crashing
+// servers.
 LoadTotals RunLoadWithResets(SimulatedFleetOptions options,
                              bool with_fingerprints) {
   options.hold_slack_share = true;
@@ -75,9 +77,11 @@
          std::to_string(it.helpers);
 }
 
-void CheckSuspicionCostsNothing(const SimulatedFleetOptions& options) {
-  const LoadTotals suspected = RunLoadWithResets(options, /*known=*/true);
-  const LoadTotals unsuspected = RunLoadWithResets(options, /*known=*/false);
+void CheckCrashSuspicionCostsNothing(const SimulatedFleetOptions& options) {
+  const LoadTotals suspected =
+      RunLoadWithResets(options, /*with_fingerprints=*/true);
+  const LoadTotals unsuspected =
+      RunLoadWithResets(options, /*with_fingerprints=*/false);
   INFO("with fingerprints: " << Describe(suspected));
   INFO("without fingerprints: " << Describe(unsuspected));
   CHECK(suspected.answered >= unsuspected.answered);
@@ -87,12 +91,14 @@
 
 TEST_CASE(
     "Long prompts interrupted by resets keep their helpers in a small fleet") {
-  CheckSuspicionCostsNothing({.daemons = 8, .data_centres = 3, .engines = 18});
+  CheckCrashSuspicionCostsNothing(
+      {.daemons = 8, .data_centres = 3, .engines = 18});
 }
 
 TEST_CASE(
     "Long prompts interrupted by resets keep their helpers in a medium fleet") {
-  CheckSuspicionCostsNothing({.daemons = 40, .data_centres = 4, .engines = 32});
+  CheckCrashSuspicionCostsNothing(
+      {.daemons = 40, .data_centres = 4, .engines = 32});
 }
 
 }  // namespace
--- a/serving/test/life_checks_test.cc
+++ b/serving/test/life_checks_test.cc
@@ -78,7 +78,8 @@
 }
 
 TEST_CASE(
-    "A server without a probe result is probed for a while and not counted") {
+    "A server without a probe result is probed for a while and not recorded as "
+    "ended") {
   Daemon daemon;
   const BackendId id = InterruptAttempt(daemon);
   int probes = 0;
--- a/serving/test/placement_test.cc
+++ b/serving/test/placement_test.cc
@@ -7,7 +7,7 @@
 namespace scaleshed::serving {
 namespace {
 
-// The engine timing that the sites configure.
+// The engine timing that the operators configure.
 const EngineTiming kTiming{.slots = 16,
                            .memory_tokens = 450'000,
                            .step_ms = 0.925,
@@ -55,7 +55,9 @@
   return request;
 }
 
-TEST_CASE("Prefill takes the time of the published formula") {
+TEST_CASE(
+    "Prefill takes the time of all tokens plus that of attention between "
+    "them") {
   CHECK(PrefillTime(kTiming, 256).count() / 1000 == 1);
   // 210,000 / 256 + 0.0917 x 210,000^2 / 2 / 10^6.
   CHECK(PrefillTime(kTiming, 210'000).count() / 1000 == 2842);
@@ -85,7 +87,9 @@
   for (const BackendId it : placement->helpers) CHECK_FALSE(used.contains(it));
 }
 
-TEST_CASE("No part starts on an engine that still prefills another") {
+TEST_CASE(
+    "No part of a long prompt starts on an engine that still prefills "
+    "another") {
   const auto first = PlacePrompt(kTiming, PoolView(8, {}), Prompt(210'000));
   const auto& placement = std::get<Placement>(first);
   const std::vector<ActiveRequest> active_requests{
@@ -226,7 +230,7 @@
 }
 
 // Engine timing of a load at which 60 engines get 39 engine-seconds of prefill
-// per second by the published formula, with one prompt that takes 71 s by
+// per second as PrefillTime() computes it, with one prompt that takes 71 s by
 // itself. Started at once on all 17 engines that a request may use, it was 1.9
 // s late, made the first tokens of four other prompts 4 to 7 s late, and caused
 // event gaps of 3 to 4 s in five streams.
--- a/serving/test/proofs_test.cc
+++ b/serving/test/proofs_test.cc
@@ -46,8 +46,8 @@
 
 // Guards against the use of an outdated list of backend servers, whose age was
 // not checked: a request reached a backend server 3.4 s after the server had
-// announced that it was leaving. store_trouble_test.cc tests the same failure
-// in a fleet.
+// announced that it was leaving. testing/test/store_trouble_test.cc tests the
+// same failure in a fleet.
 TEST_CASE("A daemon that lags behind the store sends nothing") {
   LaggingDaemon lagging;
   Daemon& daemon = lagging.daemon();
--- a/serving/test/quarantine_test.cc
+++ b/serving/test/quarantine_test.cc
@@ -20,8 +20,8 @@
 }
 
 TEST_CASE(
-    "Three crashed incarnations quarantine a fingerprint, one reported thrice "
-    "doesn't") {
+    "Three crashed incarnations quarantine a fingerprint, one that is "
+    "reported again counts once") {
   Quarantine quarantine = WithCrashes(1);
   CHECK_FALSE(quarantine.AddCrash(
       {.fingerprint = kFingerprint, .incarnation = 1}, kNow));
@@ -215,7 +215,7 @@
 
 // Guards against comparing revision numbers of the previous epoch with those of
 // the new one, whose lower numbers were dropped as old.
-TEST_CASE("Crashes that are removed in an adopted epoch are cleared") {
+TEST_CASE("Crashes removed from the store after AdoptEpoch() are cleared") {
   Quarantine quarantine = WithCrashes(3);
   quarantine.ApplyStored({.fingerprint = kFingerprint,
                           .incarnations = {1, 2, 3},
--- a/serving/test/reducer_test.cc
+++ b/serving/test/reducer_test.cc
@@ -142,7 +142,7 @@
   CHECK(used);
 }
 
-TEST_CASE("Slow engines are avoided only while most others aren't") {
+TEST_CASE("At most a third of a pool's engines are avoided as slow") {
   Daemon daemon;
   std::size_t slow = 0;
   for (const auto& [name, backend] : daemon.state().backends) {
@@ -226,7 +226,7 @@
   CHECK(daemon.state().requests.contains(key));
 }
 
-TEST_CASE("Suspicions that peers publish count") {
+TEST_CASE("A server that another daemon suspects gets no requests") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(1);
   snapshot.suspicions = {
@@ -279,7 +279,9 @@
   CHECK(daemon.FirstEffect<StartAttempt>() != nullptr);
 }
 
-TEST_CASE("Prompts that would miss the deadline are refused, late ones wait") {
+TEST_CASE(
+    "A prompt that would miss its deadline is refused, one that would "
+    "miss only its objective waits") {
   Daemon daemon;
   LoadSnapshot snapshot = test::PeerSnapshot(1);
   // 80 engine-seconds of prefill come first: 24 s for four engines.
@@ -326,7 +328,7 @@
 }
 
 TEST_CASE(
-    "A backend whose expired entry is dropped gets nothing in that moment") {
+    "Nothing is sent to a backend server once its expired entry is dropped") {
   Daemon daemon;
   const RequestKey key = daemon.SendRequest("stream", 2'000);
   REQUIRE(daemon.FirstEffect<StartAttempt>() != nullptr);
@@ -371,7 +373,8 @@
   CHECK(daemon.FirstEffect<DeliverAnswer>() == nullptr);
 }
 
-TEST_CASE("A planned stop accepts requests that can still end, then exits") {
+TEST_CASE(
+    "A stopping daemon accepts requests that can finish in time, then exits") {
   Daemon daemon;
   daemon.Feed(StopRequested{});
   CHECK_FALSE(IsServing(daemon.state()));
--- a/serving/test/repeat_budget_test.cc
+++ b/serving/test/repeat_budget_test.cc
@@ -20,7 +20,8 @@
 TEST_CASE("Retries keep to the ratio and a share of the slack") {
   RetryBudget budget({.ratio = 0.2, .slack = 90, .window = seconds(10)});
   for (int i = 0; i < 100; ++i) budget.CountRequest(kStart);
-  // Half of 0.2 x 100, nine tenths of 90 / 9.
+  // Allowed: half of 0.2 x 100 by the ratio, plus nine tenths of 90 / 9 from
+  // the slack.
   CHECK(SendAll(budget, kStart, 1.0 / 9) == 19);
 }
 
--- a/serving/test/server_limits_test.cc
+++ b/serving/test/server_limits_test.cc
@@ -13,8 +13,9 @@
 namespace scaleshed::serving::test {
 namespace {
 
-// Limits every second engine. Short prompts fill the engines in a certain
-// order; half of all engines include some of those that are filled first.
+// Limits every second engine. Short prompts fill the engines in order of their
+// BackendId, a hash; half of all engines include some of those that are filled
+// first.
 void LimitEngines(SimulatedFleet& fleet, int engines, double per_second) {
   for (int i = 0; i < engines; i += 2) {
     fleet.SetRateLimit("llm" + std::to_string(i), per_second);
@@ -75,8 +76,8 @@
 }
 
 // Sends twice the requests that the rate limits of all servers admit. The
-// limits must be used up, every request must be answered or rejected for the
-// rate limit, and at least nine in ten rejections must come at once.
+// limits must be used up, every request must be answered or refused for the
+// rate limit, and at least nine in ten refusals must come at once.
 void CheckOverload(const SimulatedFleetOptions& options, const Load& load,
                    double engine_rate, double plain_rate) {
   SimulatedFleet fleet(options);
@@ -96,18 +97,18 @@
   CHECK(refused_at_once * 10 >= fleet.refused().size() * 9);
 }
 
-TEST_CASE("A small fleet uses up all rate limits and rejects the excess") {
+TEST_CASE("A small fleet uses up all rate limits and refuses the excess") {
   CheckOverload(kSmallFleet, {.prompts = 72, .calls = 12}, 2, 2);
 }
 
-TEST_CASE("A medium fleet uses up all rate limits and rejects the excess") {
+TEST_CASE("A medium fleet uses up all rate limits and refuses the excess") {
   CheckOverload(kMediumFleet, {.prompts = 128, .calls = 16}, 2, 2);
 }
 
 // Guards against a burst that exceeds the rate limits: if each daemon of a
 // fleet metered for itself, each would save up a token of its own in a quiet
 // time.
-TEST_CASE("A burst after a quiet time finds no tokens saved by each daemon") {
+TEST_CASE("After a quiet time, a burst still keeps to the rate limits") {
   SimulatedFleet fleet(kMediumFleet);
   LimitAllServers(fleet, kMediumFleet, 1, 1);
   (void)RunLoad(fleet, kMediumFleet.daemons,
--- a/serving/test/server_words_test.cc
+++ b/serving/test/server_words_test.cc
@@ -175,7 +175,7 @@
 }
 
 // Declines an attempt with a head that asks for a backoff.
-void RefuseWithBackoff(Daemon& daemon, AttemptId attempt, Duration backoff) {
+void DeclineWithBackoff(Daemon& daemon, AttemptId attempt, Duration backoff) {
   daemon.Feed(ResponseHeadReceived{.attempt = attempt,
                                    .signals = {.backoff = backoff}});
   daemon.Feed(AttemptAnswered{
@@ -186,8 +186,8 @@
   Daemon daemon;
   for (int i = 1; i < 3; ++i) daemon.ListBackend("app", i, /*leaving=*/true);
   daemon.SendRequest("safe");
-  RefuseWithBackoff(daemon, daemon.FirstEffect<StartAttempt>()->attempt,
-                    seconds(3));
+  DeclineWithBackoff(daemon, daemon.FirstEffect<StartAttempt>()->attempt,
+                     seconds(3));
   daemon.AdvanceTime(milliseconds(1000));
   daemon.ConfirmStore();
   daemon.SendRequest("safe");
--- a/serving/test/store_eras_test.cc
+++ b/serving/test/store_eras_test.cc
@@ -69,7 +69,8 @@
 // Guards against a starting daemon that receives nobody's snapshots and accepts
 // an older backup as confirmed.
 TEST_CASE(
-    "A restore that no daemon survived is known from the store's record") {
+    "A restore is recognised from the store's record when all daemons were "
+    "killed after it") {
   StartingDaemon daemon;
   daemon.List(kEpoch - 1);
   daemon.AdvanceTime(milliseconds(2400));
@@ -78,7 +79,9 @@
   CHECK(daemon.is_confirmed());
 }
 
-TEST_CASE("A configuration written after such a restore is confirmed at once") {
+TEST_CASE(
+    "A configuration written after a restore that isn't reconciled is "
+    "confirmed at once") {
   StartingDaemon daemon;
   daemon.List(kEpoch - 1);
   daemon.AdvanceTime(milliseconds(1100));
@@ -100,7 +103,9 @@
   CHECK(daemon.epoch() == relayed_epoch - 1);
 }
 
-TEST_CASE("A store whose epoch is reconciled or unrecorded confirms at once") {
+TEST_CASE(
+    "Without an unreconciled restore on record, a starting daemon accepts a "
+    "confirmation at once") {
   for (const std::uint64_t reconciled : {kEpoch, std::uint64_t{0}}) {
     StartingDaemon daemon;
     daemon.List(reconciled);
--- a/serving/test/store_following_test.cc
+++ b/serving/test/store_following_test.cc
@@ -269,7 +269,8 @@
 // Guards against both pollers of a data centre sending the same query in each
 // poll interval, which was half of all store calls in normal operation.
 TEST_CASE(
-    "The second poller queries the store if the first one's relay fails") {
+    "The second poller queries the store if confirmations from the first "
+    "poller stop") {
   Daemon daemon;
   const std::string first =
       PollersBefore(daemon.state().options.peer_address).front();
@@ -343,7 +344,8 @@
   CHECK(daemon.FirstEffect<PollStore>() != nullptr);
 }
 
-TEST_CASE("A daemon lists the store if its entries stay different") {
+TEST_CASE(
+    "A daemon lists the store if its entries stay different from a poller's") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   bool listed = false;
@@ -388,7 +390,8 @@
 // Guards against a server that stays unknown after a restore: its revision of
 // the epoch before was kept, and the rewritten entry with a lower number was
 // dropped as old.
-TEST_CASE("A server that a backup lacks is known again once it rewrites") {
+TEST_CASE(
+    "A server that a backup lacks is known again once it rewrites its entry") {
   NonPoller non_poller;
   Daemon& daemon = non_poller.daemon();
   daemon.Feed(StoreEpochObserved{.epoch = 1});
--- a/serving/test/store_relay_drawn_test.cc
+++ b/serving/test/store_relay_drawn_test.cc
@@ -14,7 +14,9 @@
 using test::HoldsUnderSteps;
 using test::RelayFleet;
 
-TEST_CASE("Nothing counts as confirmed that isn't, under random failures") {
+TEST_CASE(
+    "No daemon treats outdated store state as confirmed, under random "
+    "failures") {
   // The fixed seed makes every run use the same sequences, unless RC_PARAMS is
   // set.
   setenv("RC_PARAMS", "seed=20261202 max_success=600 max_size=120",
--- a/serving/test/store_restores_drawn_test.cc
+++ b/serving/test/store_restores_drawn_test.cc
@@ -17,7 +17,9 @@
 // The steps include backups and restores: revision numbers are assigned again,
 // responses and relays of the lost history arrive late, and daemons start and
 // are cut off meanwhile.
-TEST_CASE("What a restored store lost stays in force under random failures") {
+TEST_CASE(
+    "Daemons keep using accepted changes that a restored store lost, under "
+    "random failures") {
   setenv("RC_PARAMS", "seed=20261202 max_success=200 max_size=60",
          /*overwrite=*/0);
   CHECK(HoldsUnderSteps("what was accepted stays in force",
@@ -26,7 +28,7 @@
 
 // Guards against starting daemons that accept the backup as confirmed because
 // no daemon is left that noticed the restore.
-TEST_CASE("A restore that no daemon survived is recognised all the same") {
+TEST_CASE("A restore is recognised when all daemons were killed after it") {
   constexpr int kConfigures = 0;
   constexpr int kAdvancesTime = 12;
   RelayFleet fleet;
--- a/serving/test/suspension_test.cc
+++ b/serving/test/suspension_test.cc
@@ -52,7 +52,8 @@
   CHECK(slack.FractionAt(awake + kSuspensionTime) == 0);
 }
 
-TEST_CASE("Active requests from before a suspension don't count after it") {
+TEST_CASE(
+    "After a suspension, look-ups omit a daemon without a newer snapshot") {
   Daemon daemon;
   daemon.ConfirmStore();
   LoadSnapshot other = PeerSnapshot(1);
